--- a/src/core/duties/definitions.ts
+++ b/src/core/duties/definitions.ts
@@ -1,39 +1,38 @@
 /**
- * Port to the platform's API, which one VM at a time calls for the whole fleet.
+ * Port to the platform API that a single VM, the duty holder, calls on behalf of the fleet.
  * @module
  */
 import type { UsageReport } from './types.js';
 
-/** Who calls: the API may refuse a call whose token is lower than one that it has seen. */
+/** Identifies the calling VM. The API may refuse a call whose token is lower than one it has already seen. */
 export interface DutyCaller {
 	vm: string;
-	/** Fencing token; rises with each VM that acts for the fleet. */
+	/** Fencing token; increases with each new duty holder. */
 	token: number;
 }
 
-/** How many engines of one service there should be in one failure domain. */
+/** Desired number of engines of one service in one failure domain. */
 export interface EngineOrder {
 	service: string;
 	domain: string;
-	/** Of those that cost less and may be taken away; else of the others. */
+	/** Spot (preemptible) engines if true, regular ones otherwise. */
 	spot: boolean;
 	count: number;
 }
 
-/** What became of a call. */
+/** Outcome of a call. */
 export const dutyAnswers = {
-	/** It was done. */
 	done: 'done',
-	/** A higher token was seen, or there are no such engines now; nothing was done. */
+	/** Not executed: a higher token was seen, or no such engines are available. */
 	refused: 'refused',
-	/** Too many calls; nothing was done. */
+	/** Not executed: too many calls. */
 	busy: 'busy',
-	/** No answer: it may have been done, or may be done seconds later. */
+	/** No answer: the call may have been executed, or may be executed later. */
 	unknown: 'unknown',
 } as const;
 export type DutyAnswer = (typeof dutyAnswers)[keyof typeof dutyAnswers];
 
-/** Calls never reject; a lost answer is `unknown`. */
+/** Calls never reject; a missing answer resolves to `unknown`. */
 export interface DutyApi {
 	reportUsage(caller: DutyCaller, report: UsageReport): Promise<DutyAnswer>;
 	orderEngines(caller: DutyCaller, order: EngineOrder): Promise<DutyAnswer>;
--- a/src/core/duties/duty-holder.ts
+++ b/src/core/duties/duty-holder.ts
@@ -1,47 +1,44 @@
 /**
- * Which VM acts for the whole fleet: the one that holds a key of the store under a lease. The revision of the key is its
- * fencing token, so it rises with each holder, and the platform can refuse one that was overtaken.
- *
- * The holder is seldom changed, since that leaves a gap: it keeps the duty until it stops, its lease ends, or a higher
- * token was seen. Only VMs that read the store stand ready, and only while no holder is heard of; in the order of their
- * ranking, so that they do not all ask at once.
+ * Elects the VM that acts for the whole fleet: the one that holds a store key under a lease. The revision of the key
+ * is the fencing token, so it increases with each holder and the platform can refuse a superseded one.
+ * The holder keeps the duty until it stops, its lease ends or it sees a higher token.
  * @module
  */
 import type { Clock, Log, Random } from '../definitions.js';
 import type { Store, StoreItem } from '../store/definitions.js';
 import { StoreError, storeFailures } from '../store/definitions.js';
 
-/** Renewals in the life of a lease: two may be lost. */
-const renewalsEach = 3;
-/** Part of the lease that is not counted on, for clocks that run apart. */
-const marginShare = 0.1;
-/** Time between two questions who holds the duty while nobody is heard of, in milliseconds. */
-const askMs = 400;
-/** Each VM ready to take over waits so much longer than the one ranked before it, in milliseconds: as news take. */
-const rankMs = 300;
-/** A VM whose calls get no answer, or that was overtaken, leaves the duty to others for so long, in milliseconds. */
-const restMs = 10_000;
-/** A holder that hears no other VM for so long leaves the duty to others, in milliseconds: twice as long as VMs are silent. */
-const cutOffMs = 1500;
-/** Calls to the platform's API in a row without an answer, after which another VM should try. */
-const unansweredToRest = 5;
-
-/** What stands under the key. */
+/** Renewals per lease duration, so that two may fail. */
+const renewalsPerLease = 3;
+/** Share of the lease treated as expired, to allow for clock drift. */
+const leaseMarginRatio = 0.1;
+/** Interval between attempts to acquire the duty while no holder is known. */
+const acquireIntervalMs = 400;
+/** Extra delay per rank before a candidate tries to acquire the duty; covers the propagation time of gossip. */
+const rankDelayMs = 300;
+/** Time for which a VM does not try to acquire the duty after it gave it up. */
+const cooldownMs = 10_000;
+/** A holder that receives no gossip for this long gives up the duty. */
+const isolationTimeoutMs = 1500;
+/** Consecutive unanswered platform calls after which the holder gives up the duty. */
+const maxUnansweredCalls = 5;
+
+/** Value of the store key. */
 interface HolderRecord {
 	vm: string;
-	/** Names one attempt to take the duty, so that a lost answer can be settled. */
+	/** Identifies one acquisition, so that the outcome of an unanswered write can be determined. */
 	nonce: string;
 }
 
-interface Held {
+interface HeldDuty {
 	lease: number;
 	/** Revision of the key. */
 	token: number;
-	/** Renewals that arrived later are not counted on; in milliseconds since boot. */
+	/** The lease certainly holds until then, in milliseconds since boot. */
 	validUntil: number;
 	renewAt: number;
-	/** It may act from then on, in milliseconds since boot. */
-	actsFrom: number;
+	/** In milliseconds since boot. */
+	mayActFrom: number;
 	nonce: string;
 }
 
@@ -50,51 +47,49 @@
 	clock: Clock;
 	random: Random;
 	log: Log;
-	/** Name of this VM. */
 	vm: string;
-	/** Key of the store that the holder has. */
+	/** Store key that the holder owns. */
 	key: string;
-	/** Life of the lease, in milliseconds. */
 	leaseMs: number;
-	/** Whether the platform refuses lower tokens than it has seen. */
+	/** Whether the platform refuses tokens lower than one it has seen. */
 	checksTokens: boolean;
-	/** Place of this VM among those that stand ready, from 0; undefined while it does not. */
+	/** Position of this VM among the candidates, from 0; undefined while it is not a candidate. */
 	rank: () => number | undefined;
-	/** Token of another VM that is heard of, holds the duty, and is answered by the store. */
+	/** Token of another VM that, according to gossip, holds the duty and reaches the store. */
 	otherHolderToken: () => number | undefined;
-	/** Whether no other VM is heard, though there are others: what they count does not reach this one. */
+	/** Whether no gossip arrives although other VMs exist, so that their usage counts cannot arrive either. */
 	isIsolated: () => boolean;
-	/** This VM took the duty, or lost it. */
+	/** Called when this VM acquired or lost the duty. */
 	onChanged: () => void;
 }
 
 export class DutyHolder {
-	private held?: Held;
-	private stopped = false;
+	private held?: HeldDuty;
+	private isStopped = false;
 	private isBusy = false;
-	/** Since when nobody is heard of that holds the duty, in milliseconds since boot. */
+	/** Since when no holder is known, in milliseconds since boot. */
 	private vacantSince?: number;
-	private askAt = Number.NEGATIVE_INFINITY;
-	private restUntil = Number.NEGATIVE_INFINITY;
-	private unanswered = 0;
-	/** Since when no other VM is heard, in milliseconds since boot. */
-	private cutOffSince?: number;
+	private nextAcquireAt = Number.NEGATIVE_INFINITY;
+	private cooldownUntil = Number.NEGATIVE_INFINITY;
+	private unansweredCalls = 0;
+	/** In milliseconds since boot. */
+	private isolatedSince?: number;
 
 	constructor(private readonly opts: DutyHolderOptions) {}
 
-	/** The token under which this VM holds the duty; undefined while it does not. */
+	/** Token under which this VM holds the duty; undefined while it does not. */
 	get token(): number | undefined {
 		return this.held?.token;
 	}
 
 	/**
-	 * The token to act under now; undefined when this VM must not. Where the platform checks tokens, a holder that the
-	 * store does not answer goes on: it is refused once another has acted.
+	 * Token to act under now; undefined when this VM must not act. Where the platform checks tokens, a holder whose lease
+	 * may have expired continues: the platform refuses it once a successor has acted.
 	 */
 	get actingToken(): number | undefined {
 		const { held } = this;
 		const mayAct = this.isLeaseValid || this.opts.checksTokens;
-		return held && mayAct && this.now >= held.actsFrom ? held.token : undefined;
+		return held && mayAct && this.now >= held.mayActFrom ? held.token : undefined;
 	}
 
 	/** Whether no other VM can hold the duty now. */
@@ -102,9 +97,9 @@
 		return this.held !== undefined && this.now < this.held.validUntil;
 	}
 
-	/** Takes, renews and loses the duty; called several times a second. Rejects only by a defect. */
+	/** Acquires, renews or gives up the duty as needed; called several times a second. Store errors do not reject. */
 	async update(): Promise<void> {
-		if (this.isBusy || this.stopped) {
+		if (this.isBusy || this.isStopped) {
 			return;
 		}
 		this.isBusy = true;
@@ -114,56 +109,55 @@
 			if (!(err instanceof StoreError)) {
 				throw err;
 			}
-			this.failed(err);
+			this.handleStoreError(err);
 		} finally {
 			this.isBusy = false;
 		}
 	}
 
-	/** This VM stops: another may take the duty at once. */
+	/** Gives up the duty on shutdown, so that another VM can acquire it immediately. */
 	async release(): Promise<void> {
-		this.stopped = true;
+		this.isStopped = true;
 		const { held } = this;
 		if (held) {
-			this.lose('this VM stops');
+			this.loseDuty('this VM is stopping');
 			await this.endLease(held.lease);
 		}
 	}
 
-	/** A call under this token was refused since a higher one was seen. */
+	/** Gives up the duty after the platform refused a call under this token. */
 	handleRefusal(token: number): void {
 		if (this.held?.token === token) {
-			this.rest();
-			this.lose('a higher token was seen');
+			this.startCooldown();
+			this.loseDuty('a higher token was seen');
 		}
 	}
 
 	/**
-	 * The store came back from an older copy: the lease and the key may be gone, and another VM may take the duty at once. This VM
-	 * acts again when it has both in the new era.
+	 * Gives up the duty after the store was restored from an older copy: the lease and the key may be gone, and another VM
+	 * may acquire the duty immediately.
 	 */
 	handleStoreRestored(): void {
 		if (this.held) {
-			this.lose('the store came back from an older copy');
+			this.loseDuty('the store was restored from an older copy');
 		}
 	}
 
-	/** A call got an answer, or none: another VM may reach the platform where this one does not. */
+	/** Records whether a platform call was answered; gives up the duty after too many that were not. */
 	async recordCallResult(isAnswered: boolean): Promise<void> {
-		this.unanswered = isAnswered ? 0 : this.unanswered + 1;
+		this.unansweredCalls = isAnswered ? 0 : this.unansweredCalls + 1;
 		const { held } = this;
-		if (held && this.unanswered >= unansweredToRest) {
-			this.unanswered = 0;
-			this.rest();
-			this.lose('the platform does not answer');
+		if (held && this.unansweredCalls >= maxUnansweredCalls) {
+			this.unansweredCalls = 0;
+			this.startCooldown();
+			this.loseDuty('the platform does not answer');
 			await this.endLease(held.lease);
 		}
 	}
 
 	/**
-	 * Takes a higher token for the same VM: a call that got no answer may be carried out seconds later, after newer ones, and
-	 * is refused then.
-	 * @returns false when the duty was lost, or that is not known
+	 * Raises the token of this VM, so that the platform refuses an unanswered call that is executed after newer ones.
+	 * @returns false when the duty was lost or the outcome is unknown
 	 */
 	async raiseToken(): Promise<boolean> {
 		const { held } = this;
@@ -172,13 +166,13 @@
 		}
 		const { key } = this.opts;
 		try {
-			const value = this.encode(held.nonce);
+			const value = this.encodeRecord(held.nonce);
 			const token = await this.opts.store.transact({
 				expected: [{ key, revision: held.token }],
 				write: [{ key, value, lease: held.lease }],
 			});
 			if (token === undefined) {
-				await this.settle(held);
+				await this.resolveConflict(held);
 			} else if (this.held === held) {
 				this.held = { ...held, token };
 			}
@@ -187,13 +181,13 @@
 			if (!(err instanceof StoreError)) {
 				throw err;
 			}
-			this.failed(err);
+			this.handleStoreError(err);
 			return false;
 		}
 	}
 
 	private get now(): number {
-		// A lease runs out while the VM is suspended: by the steady clock alone it would act on beside the next holder.
+		// Leases keep running while the VM is suspended, but the monotonic clock does not.
 		return this.opts.clock.sinceBoot();
 	}
 
@@ -201,72 +195,74 @@
 		const { held, now } = this;
 		if (held) {
 			if ((this.opts.otherHolderToken() ?? 0) > held.token) {
-				this.rest();
-				this.lose('another VM is heard that has taken it');
-			} else if (this.isCutOffFor(cutOffMs)) {
-				this.rest();
-				this.lose('no other VM is heard');
+				this.startCooldown();
+				this.loseDuty('another VM has announced a higher token');
+			} else if (this.isIsolatedFor(isolationTimeoutMs)) {
+				this.startCooldown();
+				this.loseDuty('no gossip from other VMs');
 				await this.endLease(held.lease);
 			} else if (now >= held.renewAt) {
 				await this.renew(held);
 			}
 			return;
 		}
-		if (this.shouldAsk(now)) {
-			this.askAt = now + askMs;
-			await this.take();
+		if (this.shouldAcquire(now)) {
+			this.nextAcquireAt = now + acquireIntervalMs;
+			await this.acquire();
 		}
 	}
 
-	private isCutOffFor(ms: number): boolean {
+	private isIsolatedFor(ms: number): boolean {
 		if (!this.opts.isIsolated()) {
-			this.cutOffSince = undefined;
+			this.isolatedSince = undefined;
 			return false;
 		}
-		this.cutOffSince ??= this.now;
-		return this.now - this.cutOffSince >= ms;
+		this.isolatedSince ??= this.now;
+		return this.now - this.isolatedSince >= ms;
 	}
 
-	private shouldAsk(now: number): boolean {
+	private shouldAcquire(now: number): boolean {
 		const rank = this.opts.rank();
-		const isOthers = this.opts.otherHolderToken() !== undefined || this.isCutOffFor(0);
-		if (rank === undefined || isOthers) {
+		const isBlocked = this.opts.otherHolderToken() !== undefined || this.isIsolatedFor(0);
+		if (rank === undefined || isBlocked) {
 			this.vacantSince = undefined;
 			return false;
 		}
 		this.vacantSince ??= now;
-		return now >= Math.max(this.vacantSince + rank * rankMs, this.askAt, this.restUntil);
+		return (
+			now >= Math.max(this.vacantSince + rank * rankDelayMs, this.nextAcquireAt, this.cooldownUntil)
+		);
 	}
 
-	private async renew(held: Held): Promise<void> {
+	private async renew(held: HeldDuty): Promise<void> {
 		const sentAt = this.now;
-		const next = { ...held, renewAt: sentAt + this.opts.leaseMs / renewalsEach };
+		const next = { ...held, renewAt: sentAt + this.opts.leaseMs / renewalsPerLease };
 		this.held = next;
 		await this.opts.store.renewLease(held.lease);
 		if (this.held === next) {
-			this.held = { ...next, validUntil: this.validUntil(sentAt) };
+			this.held = { ...next, validUntil: this.leaseValidUntil(sentAt) };
 		}
 	}
 
-	/** Until when a lease that was asked for, or renewed, at some moment surely runs. */
-	private validUntil(sentAt: number): number {
-		return sentAt + this.opts.leaseMs * (1 - marginShare);
+	/** Time until which a lease requested or renewed at `sentAt` certainly holds. */
+	private leaseValidUntil(sentAt: number): number {
+		return sentAt + this.opts.leaseMs * (1 - leaseMarginRatio);
 	}
 
-	private async take(): Promise<void> {
+	private async acquire(): Promise<void> {
 		const { store, key } = this.opts;
 		const found = await store.get(key);
 		if (!found) {
-			await this.create();
+			await this.createKey();
 			return;
 		}
-		const record = decode(found);
+		const record = decodeRecord(found);
 		if (record?.vm === this.opts.vm && found.lease !== 0) {
-			await this.takeOver(found, record);
+			await this.adoptLease(found, record);
 		}
 	}
 
-	private async create(): Promise<void> {
+	private async createKey(): Promise<void> {
 		const { store, key, random, leaseMs } = this.opts;
 		const nonce = random.hex(8);
 		const sentAt = this.now;
@@ -274,81 +270,81 @@
 		try {
 			const token = await store.transact({
 				expected: [{ key, revision: 0 }],
-				write: [{ key, value: this.encode(nonce), lease }],
+				write: [{ key, value: this.encodeRecord(nonce), lease }],
 			});
 			if (token === undefined) {
 				await this.endLease(lease);
 				return;
 			}
-			this.took({ lease, token, nonce, validUntil: this.validUntil(sentAt) });
+			this.becomeHolder({ lease, token, nonce, validUntil: this.leaseValidUntil(sentAt) });
 		} catch (err) {
-			// Whether the write was done is not known; without its lease it is undone, or refused when it is done late.
+			// The outcome of the write is unknown; ending the lease undoes it, or makes a late execution fail.
 			await this.endLease(lease);
 			throw err;
 		}
 	}
 
-	/** The process before had the duty, and its lease still runs. */
-	private async takeOver(found: StoreItem, { nonce }: HolderRecord): Promise<void> {
+	/** Continues the lease of an earlier process of this VM. */
+	private async adoptLease(found: StoreItem, { nonce }: HolderRecord): Promise<void> {
 		const { store, key } = this.opts;
 		const sentAt = this.now;
 		await store.renewLease(found.lease);
 		const token = await store.transact({
 			expected: [{ key, revision: found.revision }],
-			write: [{ key, value: this.encode(nonce), lease: found.lease }],
+			write: [{ key, value: this.encodeRecord(nonce), lease: found.lease }],
 		});
 		if (token !== undefined) {
 			const { lease } = found;
-			this.took({ lease, token, nonce, validUntil: this.validUntil(sentAt) });
+			this.becomeHolder({ lease, token, nonce, validUntil: this.leaseValidUntil(sentAt) });
 		}
 	}
 
-	private took(taken: Omit<Held, 'renewAt' | 'actsFrom'>): void {
+	private becomeHolder(acquired: Omit<HeldDuty, 'renewAt' | 'mayActFrom'>): void {
 		const { leaseMs, checksTokens, log } = this.opts;
 		const { now } = this;
-		const renewAt = now + leaseMs / renewalsEach;
-		// Where the platform does not check tokens, calls of the holder before must be over.
-		const actsFrom = checksTokens ? now : now + leaseMs;
-		this.held = { ...taken, renewAt, actsFrom };
-		this.unanswered = 0;
-		log.info('duty.taken', { token: taken.token, lease: taken.lease });
+		const renewAt = now + leaseMs / renewalsPerLease;
+		// Where the platform does not check tokens, calls of the previous holder must have ended.
+		const mayActFrom = checksTokens ? now : now + leaseMs;
+		this.held = { ...acquired, renewAt, mayActFrom };
+		this.unansweredCalls = 0;
+		log.info('duty.taken', { token: acquired.token, lease: acquired.lease });
 		this.opts.onChanged();
 	}
 
-	/** The key has another revision than was expected: by a write of this VM whose answer was lost, or by another VM. */
-	private async settle(held: Held): Promise<void> {
+	/** Determines whether an unexpected revision comes from an unanswered write of this VM or from another VM. */
+	private async resolveConflict(held: HeldDuty): Promise<void> {
 		const found = await this.opts.store.get(this.opts.key);
-		const isOwn = found && decode(found)?.nonce === held.nonce && found.lease === held.lease;
+		const isOwn = found && decodeRecord(found)?.nonce === held.nonce && found.lease === held.lease;
 		if (isOwn) {
 			this.held = { ...held, token: found.revision };
 		} else {
-			this.lose('another VM has taken it');
+			this.loseDuty('another VM has acquired it');
 		}
 	}
 
-	private failed(err: StoreError): void {
+	private handleStoreError(err: StoreError): void {
 		if (err.failure === storeFailures.leaseEnded && this.held) {
-			this.lose('its lease ended');
+			this.loseDuty('the lease has ended');
 			return;
 		}
 		if (this.held) {
-			this.held = { ...this.held, renewAt: this.now + askMs };
+			this.held = { ...this.held, renewAt: this.now + acquireIntervalMs };
 		}
 		this.opts.log.warn('duty.store-failed', { reason: err.failure, error: err.message });
 	}
 
-	private lose(reason: string): void {
+	private loseDuty(reason: string): void {
 		const token = this.held?.token;
 		this.held = undefined;
 		this.opts.log.warn('duty.lost', { token, reason });
 		this.opts.onChanged();
 	}
 
-	private rest(): void {
-		this.restUntil = this.now + restMs;
+	private startCooldown(): void {
+		this.cooldownUntil = this.now + cooldownMs;
 	}
 
-	/** A lease that cannot be ended lapses by itself. */
+	/** A lease that cannot be ended expires by itself. */
 	private async endLease(lease: number): Promise<void> {
 		try {
 			await this.opts.store.endLease(lease);
@@ -360,18 +356,18 @@
 		}
 	}
 
-	private encode(nonce: string): string {
+	private encodeRecord(nonce: string): string {
 		const record: HolderRecord = { vm: this.opts.vm, nonce };
 		return JSON.stringify(record);
 	}
 }
 
-function decode({ value }: StoreItem): HolderRecord | undefined {
+function decodeRecord({ value }: StoreItem): HolderRecord | undefined {
 	try {
 		const record = JSON.parse(value) as HolderRecord;
 		return typeof record.vm === 'string' && typeof record.nonce === 'string' ? record : undefined;
 	} catch {
-		// Another writer's; the VM that it names, if any, is not this one.
+		// Not written by this software, so not a record of this VM.
 		return undefined;
 	}
 }
--- a/src/core/duties/engine-autoscaler.ts
+++ b/src/core/duties/engine-autoscaler.ts
@@ -1,7 +1,7 @@
 /**
- * Orders engines by need, at the VM that holds the duty: compares the plan with what is there and what was ordered, and
- * gives the orders that are missing. An order that got no answer is given again under a higher token, so that the lost one
- * is refused when it is carried out late.
+ * Orders engines by demand, on the VM that holds the duty: compares the plan with present and ordered engines and sends the
+ * orders that are missing. An unanswered order is sent again under a higher token, so that the platform refuses the first if it
+ * is executed late.
  * @module
  */
 import type { Clock, Log } from '../definitions.js';
@@ -15,32 +15,31 @@
 import type { EngineNeed, EngineSizing, SizingStrategy } from './engine-sizing.js';
 import { MaxSizing, PeakSizing, sizingStrategies } from './engine-sizing.js';
 
-/** Between two looks at the plan, in milliseconds. */
-const lookMs = 250;
-/** A new holder looks on for so long before it orders fewer engines, in milliseconds: news of all VMs have come by then. */
-const lookOnMs = 3000;
-/** Fewer engines are ordered only when the plan has wanted fewer for so long, in milliseconds. */
-const lowerAfterMs = 8000;
-/** A plan that is lower by less than this share is not followed. */
-const lowerShare = 0.1;
-/** Engines that were ordered register within the boot time and so much more, in milliseconds; else they are ordered again. */
-const registerMs = 3000;
-/** A domain without engines that may be taken away is asked again after so long, in milliseconds. */
-const dryMs = 2500;
-/** Between two tries of an order that brought nothing, in milliseconds. */
-const retryMs = 300;
+/** Interval between evaluations of the plan. */
+const planIntervalMs = 250;
+/** A new holder does not scale down for this long, until gossip of all VMs has arrived. */
+const scaleDownGraceMs = 3000;
+/** Spot engines are scaled down only after the plan was lower for this long. */
+const scaleDownDelayMs = 8000;
+/** A plan that is lower by less than this share does not scale down spot engines. */
+const scaleDownHysteresis = 0.1;
+/** Time allowed for registration beyond the boot time before an engine counts as missing. */
+const registrationGraceMs = 3000;
+/** Time after which spot engines are ordered again in a domain that had none. */
+const spotRetryMs = 2500;
+/** Delay before an unanswered order is sent again. */
+const orderRetryMs = 300;
+/** Share of the platform's call rate that orders may use; reports and other VMs need the rest. */
+const maxCallShare = 0.5;
 
-/** Share of the calls that the platform takes which orders may use: reports and other VMs' calls need the rest. */
-const callShare = 0.5;
-
-/** What was last ordered of one kind in one domain. */
-interface Ordered {
+/** Last order for one kind of engine in one domain. */
+interface LastOrder {
 	count: number;
-	at: number;
-	/** Most engines that have served since. */
-	served: number;
-	/** The platform took it; else no answer came, and it may be carried out late. */
-	isTaken: boolean;
+	orderedAt: number;
+	/** Highest number of serving engines since the order. */
+	maxServing: number;
+	/** The platform accepted it; otherwise no answer came and it may be executed late. */
+	isAccepted: boolean;
 }
 
 export interface EngineAutoscalerOptions {
@@ -50,51 +49,51 @@
 	log: Log;
 	vm: string;
 	sizing: SizingStrategy;
-	/** Calls that the platform takes in a second, from all VMs together. */
+	/** Calls per second that the platform accepts from all VMs together. */
 	callsPerSecond: number;
 	/** Services whose engines may be ordered. */
 	services: () => readonly Service[];
 	/** Registered engines of a service. */
 	engines: (service: string) => readonly EngineEntry[];
-	/** Engines of a service that name how many requests a second they take. */
+	/** Number of engines of a service that announce a limit of requests per second. */
 	rateLimitedEngines: (service: string) => number;
-	/** Engines kept busy by what callers bring to the fleet now. */
+	/** Current demand of the fleet, in busy engines. */
 	busyEngines: (service: string) => number;
-	/** Whether engines and the fleet's work are known as they are now. */
+	/** Whether the list of engines and the work of the fleet are current. */
 	isUpToDate: () => boolean;
 	onOrdered: (order: EngineOrder) => void;
 }
 
 export class EngineAutoscaler {
 	private readonly sizings = new Map<string, EngineSizing>();
-	/** Engines of each service that were wanted when this VM took the duty. */
-	private readonly first = new Map<string, number>();
-	private readonly ordered = new Map<string, Ordered>();
-	/** Until when a domain is taken to have no engines that may be taken away, in monotonic milliseconds. */
-	private readonly dryUntil = new Map<string, number>();
-	/** Since when the plan wants fewer engines than were ordered. */
-	private readonly lowerSince = new Map<string, number>();
+	/** Number of engines of each service when this VM acquired the duty. */
+	private readonly initialCounts = new Map<string, number>();
+	private readonly lastOrders = new Map<string, LastOrder>();
+	/** Time until which a domain is assumed to have no spot engines, in monotonic milliseconds. */
+	private readonly spotUnavailableUntil = new Map<string, number>();
+	/** Since when the plan has been lower than the last order. */
+	private readonly excessSince = new Map<string, number>();
 	private heldSince?: number;
-	private lookAt = Number.NEGATIVE_INFINITY;
+	private nextPlanAt = Number.NEGATIVE_INFINITY;
 	private isBusy = false;
-	/** Calls that may be made now, and since when they are counted. */
-	private allowance = 1;
-	private allowedAt = 0;
+	/** Rate limit of calls: remaining calls, and when they were last replenished. */
+	private callBudget = 1;
+	private budgetUpdatedAt = 0;
 
 	constructor(private readonly opts: EngineAutoscalerOptions) {}
 
-	/** Gives the orders that are due; called several times a second. */
+	/** Sends the orders that are due; called several times a second. */
 	async update(): Promise<void> {
 		const { now } = this;
-		this.noteHolding(now);
-		if (this.isBusy || this.heldSince === undefined || now < this.lookAt) {
+		this.trackHolding(now);
+		if (this.isBusy || this.heldSince === undefined || now < this.nextPlanAt) {
 			return;
 		}
 		this.isBusy = true;
-		this.lookAt = now + lookMs;
+		this.nextPlanAt = now + planIntervalMs;
 		try {
 			for (const service of this.opts.services()) {
-				await this.orderFor(service);
+				await this.scaleService(service);
 			}
 		} finally {
 			this.isBusy = false;
@@ -105,109 +104,112 @@
 		return this.opts.clock.monotonic();
 	}
 
-	/** Another holder may have ordered meanwhile: what this VM ordered before says nothing any more. */
-	private noteHolding(now: number): void {
+	/** Forgets the orders of an earlier term, because another holder may have ordered since. */
+	private trackHolding(now: number): void {
 		if (this.opts.holder.actingToken === undefined) {
 			this.heldSince = undefined;
-			this.ordered.clear();
-			this.lowerSince.clear();
+			this.lastOrders.clear();
+			this.excessSince.clear();
 			this.sizings.clear();
-			this.first.clear();
+			this.initialCounts.clear();
 			return;
 		}
 		this.heldSince ??= now;
 	}
 
-	private async orderFor({ name, scaling: supply }: Service): Promise<void> {
-		if (!supply || !this.opts.isUpToDate()) {
+	private async scaleService({ name, scaling }: Service): Promise<void> {
+		if (!scaling || !this.opts.isUpToDate()) {
 			return;
 		}
 		const engines = this.opts.engines(name);
-		this.noteFirst(name, neededFrom(engines, supply.domains.length));
-		const sizing = this.sizingOf(name, supply);
+		this.recordInitialCount(name, initialCountOf(engines, scaling.domains.length));
+		const sizing = this.sizingOf(name, scaling);
 		sizing.observe(this.opts.busyEngines(name), this.now);
-		const forDemand = sizing.estimateNeed(this.now);
-		if (forDemand === undefined) {
+		const demandNeed = sizing.estimateNeed(this.now);
+		if (demandNeed === undefined) {
 			return;
 		}
-		const need = besideLimited(forDemand, this.opts.rateLimitedEngines(name));
-		const present = supply.domains.map((domain) =>
-			this.present(name, domain.name, engines, supply),
+		const need = addRateLimited(demandNeed, this.opts.rateLimitedEngines(name));
+		const present = scaling.domains.map((domain) =>
+			this.countDomainEngines(name, domain.name, engines, scaling),
 		);
-		for (const plan of planEngines(need, supply, present)) {
-			const here = present.find(({ domain }) => domain === plan.domain);
-			if (here && !(await this.orderIn(name, supply, plan, here, need))) {
+		for (const plan of planEngines(need, scaling, present)) {
+			const counts = present.find(({ domain }) => domain === plan.domain);
+			if (counts && !(await this.scaleDomain(name, scaling, plan, counts, need))) {
 				return;
 			}
 		}
 	}
 
-	/** The list of engines may be seconds old at first. */
-	private noteFirst(service: string, count: number): void {
-		if (this.now - (this.heldSince ?? this.now) < lookOnMs) {
-			this.first.set(service, Math.max(count, this.first.get(service) ?? 0));
+	/** Keeps the highest count, because the list of engines may be stale at first. */
+	private recordInitialCount(service: string, count: number): void {
+		if (this.now - (this.heldSince ?? this.now) < scaleDownGraceMs) {
+			this.initialCounts.set(service, Math.max(count, this.initialCounts.get(service) ?? 0));
 		}
 	}
 
-	private sizingOf(service: string, supply: ScalingLimits): EngineSizing {
-		const sizing = this.sizings.get(service) ?? this.newSizing(service, supply);
+	private sizingOf(service: string, scaling: ScalingLimits): EngineSizing {
+		const sizing = this.sizings.get(service) ?? this.createSizing(service, scaling);
 		this.sizings.set(service, sizing);
 		return sizing;
 	}
 
-	private newSizing(service: string, supply: ScalingLimits): EngineSizing {
-		const first = () => this.first.get(service) ?? 0;
+	private createSizing(service: string, scaling: ScalingLimits): EngineSizing {
+		const initialEngines = () => this.initialCounts.get(service) ?? 0;
 		if (this.opts.sizing === sizingStrategies.most) {
-			// All domains but the one that may be lost.
-			return new MaxSizing(first, supply.maxEngines * Math.max(1, supply.domains.length - 1));
+			// The maximum of all domains but one, which may be lost.
+			return new MaxSizing(
+				initialEngines,
+				scaling.maxEngines * Math.max(1, scaling.domains.length - 1),
+			);
 		}
-		return new PeakSizing(first);
+		return new PeakSizing(initialEngines);
 	}
 
-	private present(
+	private countDomainEngines(
 		service: string,
 		domain: string,
 		engines: readonly EngineEntry[],
-		supply: ScalingLimits,
+		scaling: ScalingLimits,
 	): DomainEngines {
 		const here = engines.filter((engine) => engine.domain === domain && !engine.draining);
 		const spot = here.filter((engine) => engine.spot).length;
 		const regular = here.length - spot;
-		const bootingOf = (isSpot: boolean, serving: number) => {
-			const ordered = this.ordered.get(keyOf(service, domain, isSpot));
-			if (!ordered) {
+		const countBooting = (isSpot: boolean, serving: number) => {
+			const lastOrder = this.lastOrders.get(orderKey(service, domain, isSpot));
+			if (!lastOrder) {
 				return 0;
 			}
-			ordered.served = Math.max(ordered.served, serving);
-			const isFresh = this.now - ordered.at < supply.bootMs + registerMs;
-			return isFresh ? Math.max(0, ordered.count - ordered.served) : 0;
+			lastOrder.maxServing = Math.max(lastOrder.maxServing, serving);
+			const isFresh = this.now - lastOrder.orderedAt < scaling.bootMs + registrationGraceMs;
+			return isFresh ? Math.max(0, lastOrder.count - lastOrder.maxServing) : 0;
 		};
 		return {
 			domain,
 			spot,
 			regular,
-			spotBooting: bootingOf(true, spot),
-			regularBooting: bootingOf(false, regular),
-			isSpotUnavailable: this.now < (this.dryUntil.get(`${service} ${domain}`) ?? 0),
+			spotBooting: countBooting(true, spot),
+			regularBooting: countBooting(false, regular),
+			isSpotUnavailable: this.now < (this.spotUnavailableUntil.get(`${service} ${domain}`) ?? 0),
 		};
 	}
 
 	/** @returns false when nothing more should be ordered for now */
-	private async orderIn(
+	private async scaleDomain(
 		service: string,
-		supply: ScalingLimits,
+		scaling: ScalingLimits,
 		plan: DomainPlan,
-		here: DomainEngines,
+		counts: DomainEngines,
 		need: EngineNeed,
 	): Promise<boolean> {
 		const { domain } = plan;
 		const kinds = [
-			{ spot: true, count: plan.spot, serving: here.spot },
-			{ spot: false, count: plan.regular, serving: here.regular },
+			{ spot: true, count: plan.spot, serving: counts.spot },
+			{ spot: false, count: plan.regular, serving: counts.regular },
 		];
 		for (const { spot, count, serving } of kinds) {
 			const order = { service, domain, spot, count };
-			if (this.isDue(order, serving, supply) && !(await this.give(order, serving, need))) {
+			if (this.isDue(order, serving, scaling) && !(await this.sendOrder(order, serving, need))) {
 				return false;
 			}
 		}
@@ -217,105 +219,118 @@
 	private isDue(
 		{ service, domain, spot, count }: EngineOrder,
 		serving: number,
-		supply: ScalingLimits,
+		scaling: ScalingLimits,
 	) {
-		const key = keyOf(service, domain, spot);
-		const ordered = this.ordered.get(key);
-		const before = ordered?.count ?? serving;
-		if (count >= before * (1 - lowerShare) || !spot) {
-			this.lowerSince.delete(key);
+		const key = orderKey(service, domain, spot);
+		const lastOrder = this.lastOrders.get(key);
+		const before = lastOrder?.count ?? serving;
+		if (count >= before * (1 - scaleDownHysteresis) || !spot) {
+			this.excessSince.delete(key);
 		}
-		if (ordered && !ordered.isTaken) {
-			return this.now - ordered.at >= retryMs;
+		if (lastOrder && !lastOrder.isAccepted) {
+			return this.now - lastOrder.orderedAt >= orderRetryMs;
 		}
 		if (count > before) {
 			return true;
 		}
 		if (count < before) {
-			return this.mayLower(key, spot, count, before);
+			return this.mayScaleDown(key, spot, count, before);
 		}
-		if (!ordered || serving >= count) {
+		if (!lastOrder || serving >= count) {
 			return false;
 		}
-		// Engines that have left or crashed since, or were ordered and never came.
-		const isOverdue = this.now - ordered.at > supply.bootMs + registerMs;
-		return serving < ordered.served || isOverdue;
+		// Engines left or crashed since the order, or never registered.
+		const isOverdue = this.now - lastOrder.orderedAt > scaling.bootMs + registrationGraceMs;
+		return serving < lastOrder.maxServing || isOverdue;
 	}
 
-	/** The cheaper ones are kept for a while after a burst; the others go as soon as enough of those serve. */
-	private mayLower(key: string, spot: boolean, count: number, before: number): boolean {
+	/** Keeps spot engines for a while after a burst; regular ones leave as soon as enough spot engines serve. */
+	private mayScaleDown(key: string, spot: boolean, count: number, before: number): boolean {
 		const { now } = this;
-		if (now - (this.heldSince ?? now) < lookOnMs) {
+		if (now - (this.heldSince ?? now) < scaleDownGraceMs) {
 			return false;
 		}
 		if (!spot) {
 			return true;
 		}
-		const since = this.lowerSince.get(key) ?? now;
-		this.lowerSince.set(key, since);
-		return count < before * (1 - lowerShare) && now - since >= lowerAfterMs;
+		const since = this.excessSince.get(key) ?? now;
+		this.excessSince.set(key, since);
+		return count < before * (1 - scaleDownHysteresis) && now - since >= scaleDownDelayMs;
 	}
 
 	/** @returns false when nothing more should be ordered for now */
-	private async give(order: EngineOrder, serving: number, need: EngineNeed): Promise<boolean> {
+	private async sendOrder(order: EngineOrder, serving: number, need: EngineNeed): Promise<boolean> {
 		const { api, holder, vm, log } = this.opts;
 		const { service, domain, spot, count } = order;
-		const key = keyOf(service, domain, spot);
-		const isRepeat = this.ordered.get(key)?.isTaken === false;
+		const key = orderKey(service, domain, spot);
+		const isRepeat = this.lastOrders.get(key)?.isAccepted === false;
 		if (isRepeat && !(await holder.raiseToken())) {
 			return false;
 		}
 		const token = holder.actingToken;
-		if (token === undefined || !this.takeAllowance()) {
+		if (token === undefined || !this.consumeCallBudget()) {
 			return false;
 		}
-		const before = this.ordered.get(key);
-		this.ordered.set(key, { count, at: this.now, served: serving, isTaken: false });
+		const before = this.lastOrders.get(key);
+		this.lastOrders.set(key, {
+			count,
+			orderedAt: this.now,
+			maxServing: serving,
+			isAccepted: false,
+		});
 		const answer = await api.orderEngines({ vm, token }, order);
 		await holder.recordCallResult(answer !== dutyAnswers.unknown);
 		const busy = Number(this.opts.busyEngines(service).toFixed(1));
 		const fields = { service, domain, spot, count, serving, ...need, busy, token, answer };
 		log.info('engines.ordered', fields);
 		if (answer === dutyAnswers.done) {
-			this.ordered.set(key, { count, at: this.now, served: serving, isTaken: true });
+			this.lastOrders.set(key, {
+				count,
+				orderedAt: this.now,
+				maxServing: serving,
+				isAccepted: true,
+			});
 			this.opts.onOrdered(order);
 			return true;
 		}
 		if (answer === dutyAnswers.busy) {
-			// Nothing was done: what was ordered before still stands.
-			this.restore(key, before);
+			// Not executed, so the previous order still applies.
+			this.restoreLastOrder(key, before);
 			return false;
 		}
-		return answer === dutyAnswers.refused && this.wasRefused(order, token);
+		return answer === dutyAnswers.refused && this.handleRefusal(order, token);
 	}
 
-	private restore(key: string, before: Ordered | undefined): void {
+	private restoreLastOrder(key: string, before: LastOrder | undefined): void {
 		if (before) {
-			this.ordered.set(key, before);
+			this.lastOrders.set(key, before);
 		} else {
-			this.ordered.delete(key);
+			this.lastOrders.delete(key);
 		}
 	}
 
-	/** Takes one call of what the platform allows, if there is one. */
-	private takeAllowance(): boolean {
-		const perMs = (this.opts.callsPerSecond * callShare) / 1000;
-		const most = Math.max(1, this.opts.callsPerSecond * callShare);
-		this.allowance = Math.min(most, this.allowance + (this.now - this.allowedAt) * perMs);
-		this.allowedAt = this.now;
-		if (this.allowance < 1) {
+	/** Consumes one call of the rate limit; returns false when none is left. */
+	private consumeCallBudget(): boolean {
+		const perMs = (this.opts.callsPerSecond * maxCallShare) / 1000;
+		const maxBudget = Math.max(1, this.opts.callsPerSecond * maxCallShare);
+		this.callBudget = Math.min(
+			maxBudget,
+			this.callBudget + (this.now - this.budgetUpdatedAt) * perMs,
+		);
+		this.budgetUpdatedAt = this.now;
+		if (this.callBudget < 1) {
 			return false;
 		}
-		this.allowance--;
+		this.callBudget--;
 		return true;
 	}
 
 	/** @returns false when nothing more should be ordered for now */
-	private wasRefused({ service, domain, spot }: EngineOrder, token: number): boolean {
-		this.ordered.delete(keyOf(service, domain, spot));
+	private handleRefusal({ service, domain, spot }: EngineOrder, token: number): boolean {
+		this.lastOrders.delete(orderKey(service, domain, spot));
 		if (spot && this.opts.holder.isLeaseValid) {
-			// No other VM can hold the duty, so there are no such engines there now.
-			this.dryUntil.set(`${service} ${domain}`, this.now + dryMs);
+			// No other VM can hold the duty, so the refusal means that no spot engines are available.
+			this.spotUnavailableUntil.set(`${service} ${domain}`, this.now + spotRetryMs);
 			return true;
 		}
 		this.opts.holder.handleRefusal(token);
@@ -323,18 +338,18 @@
 	}
 }
 
-/** Engines that name how few requests they take serve little: the others would have to bear what was counted on them for. */
-function besideLimited({ wanted, required }: EngineNeed, limited: number): EngineNeed {
-	return { wanted: wanted + limited, required: required + limited };
+/** Adds replacements for rate-limited engines, which contribute little capacity. */
+function addRateLimited({ wanted, required }: EngineNeed, limitedCount: number): EngineNeed {
+	return { wanted: wanted + limitedCount, required: required + limitedCount };
 }
 
-/** Engines that were wanted when this VM took the duty, by the operators or the holder before: without what a loss takes. */
-function neededFrom(engines: readonly EngineEntry[], domains: number): number {
+/** Number of engines without the surplus that covers the loss of a domain. */
+function initialCountOf(engines: readonly EngineEntry[], domains: number): number {
 	const present = engines.filter(({ draining }) => !draining);
 	const spot = present.filter((engine) => engine.spot).length;
 	return present.length - Math.ceil(spot / Math.max(2, domains));
 }
 
-function keyOf(service: string, domain: string, spot: boolean): string {
+function orderKey(service: string, domain: string, spot: boolean): string {
 	return `${service} ${domain} ${spot ? 'spot' : 'regular'}`;
 }
--- a/src/core/duties/engine-plan.ts
+++ b/src/core/duties/engine-plan.ts
@@ -1,9 +1,7 @@
 /**
- * Where the engines of a service should be, and of which kind: a decision without state, from what is there now.
- *
- * Engines that may be taken away cost a fraction of the others. All of a failure domain's are taken at once, with two
- * seconds' notice, and for a while there may be no more of them: so the work is spread over all domains with as many more
- * as the loss of one takes, and others are ordered only for what is missing then.
+ * Computes the desired number of spot and regular engines per failure domain, without keeping state.
+ * Spot engines are cheaper, but a whole domain can lose them at once. They are spread over all domains with enough headroom for
+ * the loss of one, and regular engines cover only what is still missing.
  * @module
  */
 import type { ScalingLimits } from '../routing/types.js';
@@ -12,93 +10,99 @@
 /** Engines of one service in one failure domain. */
 export interface DomainEngines {
 	domain: string;
-	/** That serve now, of those that may be taken away, and of the others. */
+	/** Serving engines of each kind. */
 	spot: number;
 	regular: number;
-	/** Ordered lately, not serving yet. */
+	/** Ordered, not serving yet. */
 	spotBooting: number;
 	regularBooting: number;
-	/** There are none to be had that may be taken away. */
+	/** The platform has no spot engines there at present. */
 	isSpotUnavailable: boolean;
 }
 
-/** Engines that there should be in one failure domain. */
+/** Desired engines in one failure domain. */
 export interface DomainPlan {
 	domain: string;
 	spot: number;
 	regular: number;
 }
 
-/** @param now one entry a domain */
+/** @param now one entry per domain */
 export function planEngines(
 	need: EngineNeed,
-	supply: ScalingLimits,
+	limits: ScalingLimits,
 	now: readonly DomainEngines[],
 ): DomainPlan[] {
-	const spot = spotOf(need.wanted, supply, now);
-	const isOnlyKind = supply.spotPrice >= 1;
-	const regular = regularOf(isOnlyKind ? need.wanted : need.required, supply, now);
-	return now.map(({ domain }, at) => {
-		const spotHere = spot[at] ?? 0;
-		const regularHere = regular[at] ?? 0;
-		// The service must not vanish from a domain where the operators want it.
-		const missing = Math.max(0, supply.minEngines - spotHere - regularHere);
+	const spot = planSpot(need.wanted, limits, now);
+	const isRegularOnly = limits.spotPrice >= 1;
+	const regular = planRegular(isRegularOnly ? need.wanted : need.required, limits, now);
+	return now.map(({ domain }, index) => {
+		const spotHere = spot[index] ?? 0;
+		const regularHere = regular[index] ?? 0;
+		// Keeps the configured minimum in each domain.
+		const missing = Math.max(0, limits.minEngines - spotHere - regularHere);
 		return { domain, spot: spotHere, regular: regularHere + missing };
 	});
 }
 
-/** Spread evenly, with room for the loss of a domain; a dry one keeps what it has, and the others take its share. */
-function spotOf(wanted: number, supply: ScalingLimits, now: readonly DomainEngines[]): number[] {
-	if (supply.spotPrice >= 1) {
+/** Spreads spot engines evenly, with headroom for the loss of a domain; domains without available spot engines keep theirs. */
+function planSpot(wanted: number, limits: ScalingLimits, now: readonly DomainEngines[]): number[] {
+	if (limits.spotPrice >= 1) {
 		return now.map(() => 0);
 	}
 	const domains = now.length;
-	const withRoom = Math.ceil((wanted * domains) / Math.max(1, domains - 1));
-	const dry = now.filter(({ isSpotUnavailable: isSpotDry }) => isSpotDry);
-	const kept = dry.reduce((sum, { spot }) => sum + spot, 0);
-	const each = Math.ceil(Math.max(0, withRoom - kept) / Math.max(1, domains - dry.length));
-	return now.map(({ spot, regular, isSpotUnavailable: isSpotDry }) => {
-		const room = Math.max(0, supply.maxEngines - regular);
-		return Math.min(isSpotDry ? spot : each, room);
+	const withHeadroom = Math.ceil((wanted * domains) / Math.max(1, domains - 1));
+	const unavailable = now.filter(({ isSpotUnavailable }) => isSpotUnavailable);
+	const kept = unavailable.reduce((sum, { spot }) => sum + spot, 0);
+	const each = Math.ceil(
+		Math.max(0, withHeadroom - kept) / Math.max(1, domains - unavailable.length),
+	);
+	return now.map(({ spot, regular, isSpotUnavailable }) => {
+		const capacity = Math.max(0, limits.maxEngines - regular);
+		return Math.min(isSpotUnavailable ? spot : each, capacity);
 	});
 }
 
 /**
- * Of the others: as many as are missing. Those that are there stay until enough of the cheaper ones serve; more are
- * ordered only for what those that boot will not make up for.
+ * Covers with regular engines what spot engines do not. Present ones stay until enough spot engines serve; more are added
+ * only beyond what booting spot engines will cover.
  */
-function regularOf(
+function planRegular(
 	required: number,
-	supply: ScalingLimits,
+	limits: ScalingLimits,
 	now: readonly DomainEngines[],
 ): number[] {
 	const serving = now.reduce((sum, { spot }) => sum + spot, 0);
 	const booting = now.reduce((sum, one) => sum + (one.isSpotUnavailable ? 0 : one.spotBooting), 0);
 	const present = now.reduce((sum, one) => sum + one.regular + one.regularBooting, 0);
-	const most = Math.max(0, required - serving);
-	const least = Math.max(0, most - booting);
-	const wanted = Math.min(Math.max(present, least), most);
-	return share(wanted, supply, now);
+	const maxRegular = Math.max(0, required - serving);
+	const minRegular = Math.max(0, maxRegular - booting);
+	const wanted = Math.min(Math.max(present, minRegular), maxRegular);
+	return distributeRegular(wanted, limits, now);
 }
 
-/** Keeps engines where they are; what is added goes to the cheapest domains that have room. */
-function share(total: number, supply: ScalingLimits, now: readonly DomainEngines[]): number[] {
+/** Keeps engines where they are and adds new ones in the cheapest domains with capacity left. */
+function distributeRegular(
+	total: number,
+	limits: ScalingLimits,
+	now: readonly DomainEngines[],
+): number[] {
 	const present = now.map(({ regular, regularBooting }) => regular + regularBooting);
 	const sum = present.reduce((all, one) => all + one, 0);
 	if (total <= sum) {
-		// Rounded up: one too many for a moment is better than one too few.
+		// Rounds up, since a shortage is worse than a temporary surplus.
 		return present.map((one) => (sum === 0 ? 0 : Math.ceil((one * total) / sum)));
 	}
 	const shares = [...present];
-	const priceOf = (at: number) =>
-		supply.domains.find(({ name }) => name === now[at]?.domain)?.price ?? 1;
-	const cheapestFirst = now.map((_, at) => at).sort((a, b) => priceOf(a) - priceOf(b));
+	const priceOf = (index: number) =>
+		limits.domains.find(({ name }) => name === now[index]?.domain)?.price ?? 1;
+	const cheapestFirst = now.map((_, index) => index).sort((a, b) => priceOf(a) - priceOf(b));
 	let left = total - sum;
-	for (let round = 0; left > 0 && round < supply.maxEngines; round++) {
-		for (const at of cheapestFirst) {
-			const isFull = (shares[at] ?? 0) + (now[at]?.spot ?? 0) >= supply.maxEngines;
+	for (let round = 0; left > 0 && round < limits.maxEngines; round++) {
+		for (const index of cheapestFirst) {
+			const isFull = (shares[index] ?? 0) + (now[index]?.spot ?? 0) >= limits.maxEngines;
 			if (left > 0 && !isFull) {
-				shares[at] = (shares[at] ?? 0) + 1;
+				shares[index] = (shares[index] ?? 0) + 1;
 				left--;
 			}
 		}
--- a/src/core/duties/fleet-clock.ts
+++ b/src/core/duties/fleet-clock.ts
@@ -1,20 +1,16 @@
 /**
- * Unix time that all VMs agree on, whatever their clocks do. It runs with the steady clock from the process's start on: a
- * VM's time of day may jump by seconds, and back. A process that started during such a jump is set right by the holder
- * of the duty, which takes the median of what all VMs think.
+ * Unix time shared by all VMs. It follows the monotonic clock from process start, because the wall clock of a VM may jump.
+ * The duty holder corrects a process that started with a wrong clock, using the median of all VMs.
  * @module
  */
 import type { Clock } from '../definitions.js';
 
-/** Smaller differences from the VM's own clock are followed, in milliseconds: the steady clock drifts. */
-const followedMs = 100;
-/** Share of such a difference that is taken up with each look. */
-const followShare = 0.05;
-/**
- * Differences from the other VMs that are set right, in milliseconds: a busy VM reads a message 300 ms late. A smaller one moves
- * a seventh of a window of five seconds at the most.
- */
-const wrongMs = 700;
+/** Smaller differences from the wall clock count as drift of the monotonic clock and are corrected gradually. */
+const maxDriftMs = 100;
+/** Share of the drift that each update corrects. */
+const driftCorrectionRatio = 0.05;
+/** Smaller differences from other VMs are ignored, since message delays cause them. */
+const minCorrectionMs = 700;
 
 export class FleetClock {
 	private offsetMs: number;
@@ -28,20 +24,21 @@
 		return this.clock.monotonic() + this.offsetMs;
 	}
 
-	/** Follows the drift of the VM's own clock, and no jump; called several times a second. */
+	/** Corrects drift, but follows no jump of the wall clock; called several times a second. */
 	update(): void {
 		const differenceMs = this.clock.wall() - this.now();
-		if (Math.abs(differenceMs) < followedMs) {
-			this.offsetMs += differenceMs * followShare;
+		if (Math.abs(differenceMs) < maxDriftMs) {
+			this.offsetMs += differenceMs * driftCorrectionRatio;
 		}
 	}
 
 	/**
-	 * Others think that it is so much later.
-	 * @returns whether the clock was set
+	 * Adjusts the clock to the other VMs.
+	 * @param differenceMs how far the other VMs are ahead
+	 * @returns whether the clock was adjusted
 	 */
 	correct(differenceMs: number): boolean {
-		if (Math.abs(differenceMs) < wrongMs) {
+		if (Math.abs(differenceMs) < minCorrectionMs) {
 			return false;
 		}
 		this.offsetMs += differenceMs;
--- a/src/core/duties/types.ts
+++ b/src/core/duties/types.ts
@@ -1,44 +1,44 @@
 /**
- * What the VMs tell each other, and the platform, where one VM at a time acts for all.
+ * Messages between VMs and reports to the platform about usage.
  * @module
  */
 
-/** Requests of one customer that began to run in one window. */
+/** Number of requests of one customer that started in one window. */
 export interface CustomerCount {
 	customer: string;
 	started: number;
 }
 
-/** Part of what one VM has counted of one window so far. Counts only rise, so parts may come in any order, or again. */
+/** Part of the counts of one VM for one window so far. Counts never decrease, so parts may arrive repeatedly and in any order. */
 export interface UsageCounts {
 	vm: string;
-	/** Tells this process from an earlier one of the same VM. */
+	/** Distinguishes processes of the same VM. */
 	incarnation: number;
-	/** Where the sender hears answers, as IP:PORT. */
+	/** Address for acknowledgements, as IP:PORT. */
 	address: string;
-	/** When it was sent, in Unix milliseconds by the sender's estimate. */
+	/** Unix milliseconds by the sender's fleet clock. */
 	sentAt: number;
-	/** Number of the window since 1970. */
+	/** Index of the window since the Unix epoch. */
 	window: number;
-	/** Requests of all customers in the window, those in other parts included. */
+	/** Requests of all customers in the window, including those in other parts. */
 	total: number;
-	/** The window is over at the sender: the total will not change. */
+	/** The window has ended at the sender, so the total does not change any more. */
 	isFinal: boolean;
 	counts: CustomerCount[];
 }
 
-/** The holder of the duty has taken in what a VM counted of a window. */
+/** Acknowledges the counts of one process for one window. */
 export interface UsageAck {
-	/** The process that counted. */
+	/** Process that sent the counts. */
 	incarnation: number;
 	window: number;
-	/** Requests of that process that the holder knows of. */
+	/** Requests of that process known to the holder. */
 	total: number;
-	/** Unix milliseconds by the holder's estimate; undefined while it has heard too few VMs to be sure. */
+	/** Unix milliseconds by the holder's fleet clock; undefined while too few VMs have reported to verify it. */
 	time?: number;
 }
 
-/** What is reported to the platform for one window, never with other counts again. */
+/** Report to the platform for one window; once sent, its counts never change. */
 export interface UsageReport {
 	window: number;
 	counts: CustomerCount[];
--- a/src/core/duties/usage-collector.ts
+++ b/src/core/duties/usage-collector.ts
@@ -1,98 +1,100 @@
 /**
- * Puts together what all VMs counted, at the VM that holds the duty. Counts only rise, so whatever comes late, twice or in
- * another order does no harm: the highest of each is kept.
+ * Merges the usage counts of all VMs, on the VM that holds the duty. Counts never decrease, so the highest value of each is kept
+ * and messages may arrive late, repeatedly or out of order.
  * @module
  */
 import type { CustomerCount, UsageAck, UsageCounts } from './types.js';
 import { sum } from './usage-counter.js';
 
-/** Clocks of so many VMs at least are needed to know which time it is. */
-const leastClocks = 3;
+/** Minimum number of VMs for the median clock offset. */
+const minClocks = 3;
 
-/** What one process counted of one window. */
-interface Counted {
+/** Counts of one process for one window. */
+interface ProcessUsage {
 	counts: Map<string, number>;
 	total: number;
 	isFinal: boolean;
 }
 
 export class UsageCollector {
-	/** By window, then by VM and process. */
-	private readonly windows = new Map<number, Map<string, Counted>>();
-	/** The newest process of each VM, and when it was heard last, in Unix milliseconds. */
-	private readonly lives = new Map<string, number>();
-	private readonly heardAt = new Map<string, number>();
-	/** How much later each VM thinks it is, in milliseconds. */
-	private readonly clockDifferences = new Map<string, number>();
+	/** By window, then by VM and incarnation. */
+	private readonly windows = new Map<number, Map<string, ProcessUsage>>();
+	/** Latest incarnation of each VM. */
+	private readonly incarnations = new Map<string, number>();
+	/** When each VM last reported, in Unix milliseconds. */
+	private readonly receivedAt = new Map<string, number>();
+	/** How far the clock of each VM is ahead, in milliseconds. */
+	private readonly clockOffsets = new Map<string, number>();
 
-	/** @param time Unix milliseconds that all VMs agree on */
+	/** @param time Unix milliseconds of the fleet clock */
 	constructor(private readonly time: () => number) {}
 
 	/**
-	 * Takes in what a VM counted.
-	 * @returns what the VM may be told of it
+	 * Merges the counts of a VM.
+	 * @returns the acknowledgement for the VM
 	 */
 	merge(usage: UsageCounts): UsageAck {
-		this.lives.set(usage.vm, usage.incarnation);
-		this.heardAt.set(usage.vm, this.time());
-		this.clockDifferences.set(usage.vm, usage.sentAt - this.time());
-		const counted = this.countedOf(usage);
-		counted.total = Math.max(counted.total, usage.total);
-		counted.isFinal ||= usage.isFinal;
+		this.incarnations.set(usage.vm, usage.incarnation);
+		this.receivedAt.set(usage.vm, this.time());
+		this.clockOffsets.set(usage.vm, usage.sentAt - this.time());
+		const processUsage = this.usageOf(usage);
+		processUsage.total = Math.max(processUsage.total, usage.total);
+		processUsage.isFinal ||= usage.isFinal;
 		for (const { customer, started } of usage.counts) {
-			counted.counts.set(customer, Math.max(started, counted.counts.get(customer) ?? 0));
+			processUsage.counts.set(customer, Math.max(started, processUsage.counts.get(customer) ?? 0));
 		}
-		const { incarnation: life, window } = usage;
-		return { incarnation: life, window, total: sum(counted.counts.values()) };
+		const { incarnation, window } = usage;
+		return { incarnation, window, total: sum(processUsage.counts.values()) };
 	}
 
 	/**
-	 * How much later the VMs think it is in the median, in milliseconds.
-	 * @param vms in the fleet
-	 * @returns undefined while fewer than half of them were heard
+	 * Median of how far the clocks of the VMs are ahead, in milliseconds.
+	 * @param vms size of the fleet
+	 * @returns undefined while fewer than half of the VMs have reported
 	 */
 	medianClockOffsetMs(vms: number): number | undefined {
-		const sorted = [...this.clockDifferences.values()].sort((a, b) => a - b);
-		const isEnough = sorted.length >= leastClocks && sorted.length * 2 >= vms;
+		const sorted = [...this.clockOffsets.values()].sort((a, b) => a - b);
+		const isEnough = sorted.length >= minClocks && sorted.length * 2 >= vms;
 		return isEnough ? sorted[Math.floor(sorted.length / 2)] : undefined;
 	}
 
-	/** The clock was set: differences from before say nothing any more. */
+	/** Discards the offsets measured before the clock was adjusted. */
 	resetClockOffsets(): void {
-		this.clockDifferences.clear();
+		this.clockOffsets.clear();
 	}
 
-	/** Windows of which anything is known, the oldest first. */
+	/** Windows with any counts, oldest first. */
 	get knownWindows(): number[] {
 		return [...this.windows.keys()].sort((a, b) => a - b);
 	}
 
 	/**
-	 * Whether these VMs have told all that they counted. One that began again tells nothing more of its life before, and
-	 * nothing of windows before that; one that is cut off may still come.
-	 * @param silentMs a VM that was not heard for so long is not waited for
+	 * Whether all counts of these VMs have arrived. A restarted VM sends nothing more about windows before its restart.
+	 * @param silentMs VMs that have not reported for this long are ignored
 	 */
 	isComplete(window: number, vms: readonly string[], silentMs: number): boolean {
-		const ofWindow = this.windows.get(window);
+		const windowUsage = this.windows.get(window);
 		const silentSince = this.time() - silentMs;
 		return vms.every((vm) => {
-			if ((this.heardAt.get(vm) ?? 0) < silentSince) {
+			if ((this.receivedAt.get(vm) ?? 0) < silentSince) {
 				return true;
 			}
-			const life = this.lives.get(vm);
-			const counted = ofWindow?.get(`${vm} ${life}`);
-			if (!counted) {
-				return life !== undefined && this.beganAfter(window, `${vm} ${life}`);
+			const incarnation = this.incarnations.get(vm);
+			const processUsage = windowUsage?.get(`${vm} ${incarnation}`);
+			if (!processUsage) {
+				return incarnation !== undefined && this.startedAfter(window, `${vm} ${incarnation}`);
 			}
-			return counted.isFinal && sum(counted.counts.values()) >= counted.total;
+			return processUsage.isFinal && sum(processUsage.counts.values()) >= processUsage.total;
 		});
 	}
 
-	private beganAfter(window: number, name: string): boolean {
-		return [...this.windows].some(([later, counted]) => later > window && counted.has(name));
+	private startedAfter(window: number, processKey: string): boolean {
+		return [...this.windows].some(
+			([later, processUsage]) => later > window && processUsage.has(processKey),
+		);
 	}
 
-	/** Sums of a window by customer, in the order of their names. */
+	/** Totals of a window by customer, sorted by name. */
 	countsOf(window: number): CustomerCount[] {
 		const sums = new Map<string, number>();
 		for (const { counts } of this.windows.get(window)?.values() ?? []) {
@@ -105,7 +107,7 @@
 			.sort((a, b) => (a.customer < b.customer ? -1 : 1));
 	}
 
-	/** Forgets windows before this one. */
+	/** Drops windows before this one. */
 	dropBefore(window: number): void {
 		for (const known of this.windows.keys()) {
 			if (known < window) {
@@ -114,16 +116,16 @@
 		}
 	}
 
-	private countedOf({ vm, incarnation: life, window }: UsageCounts): Counted {
-		const ofWindow = this.windows.get(window) ?? new Map<string, Counted>();
-		this.windows.set(window, ofWindow);
-		const name = `${vm} ${life}`;
-		const counted = ofWindow.get(name) ?? {
+	private usageOf({ vm, incarnation, window }: UsageCounts): ProcessUsage {
+		const windowUsage = this.windows.get(window) ?? new Map<string, ProcessUsage>();
+		this.windows.set(window, windowUsage);
+		const processKey = `${vm} ${incarnation}`;
+		const processUsage = windowUsage.get(processKey) ?? {
 			counts: new Map<string, number>(),
 			total: 0,
 			isFinal: false,
 		};
-		ofWindow.set(name, counted);
-		return counted;
+		windowUsage.set(processKey, processUsage);
+		return processUsage;
 	}
 }
--- a/src/core/duties/usage-counter.ts
+++ b/src/core/duties/usage-counter.ts
@@ -1,6 +1,6 @@
 /**
- * Requests that began to run, as this VM saw them, by window and customer. Kept until the holder of the duty has reported
- * them: one that takes over hears all of it again.
+ * Counts the requests that start on this VM by window and customer. Counts are kept after they were reported, because a new duty
+ * holder needs all of them again.
  * @module
  */
 import type { CustomerCount } from './types.js';
@@ -8,31 +8,30 @@
 export interface WindowUsage {
 	window: number;
 	total: number;
-	/** The window is over: nothing is added any more. */
+	/** The window has ended, so its counts do not change any more. */
 	isFinal: boolean;
 	counts: readonly CustomerCount[];
 }
 
 export interface UsageCounterOptions {
-	/** Length of a window, in milliseconds. */
 	windowMs: number;
-	/** A window is dropped so long after its end, in milliseconds. */
+	/** Time from the end of a window until it is dropped, in milliseconds. */
 	retentionMs: number;
-	/** Unix milliseconds that all VMs agree on. */
+	/** Unix milliseconds of the fleet clock. */
 	time: () => number;
 }
 
 export class UsageCounter {
 	private readonly windows = new Map<number, Map<string, number>>();
-	private readonly first: number;
+	private readonly firstWindow: number;
 
 	constructor(private readonly opts: UsageCounterOptions) {
-		this.first = this.windowAt(opts.time());
+		this.firstWindow = this.windowAt(opts.time());
 	}
 
 	/**
-	 * A request of a customer began to run.
-	 * @param agoMs how long ago
+	 * Counts a request that started.
+	 * @param agoMs time since it started, in milliseconds
 	 */
 	recordStart(customer: string, agoMs = 0): void {
 		const window = this.windowAt(this.opts.time() - agoMs);
@@ -41,12 +40,12 @@
 		counts.set(customer, (counts.get(customer) ?? 0) + 1);
 	}
 
-	/** Windows since the start that are kept, the oldest first. */
+	/** Retained windows since the start of the process, oldest first. */
 	read(): WindowUsage[] {
 		const now = this.opts.time();
-		this.dropOld(now);
+		this.dropExpired(now);
 		const current = this.windowAt(now);
-		this.fillUpTo(current);
+		this.addEmptyWindows(current);
 		const read = [...this.windows].map(([window, counts]) => ({
 			window,
 			total: sum(counts.values()),
@@ -56,19 +55,19 @@
 		return read.sort((a, b) => a.window - b.window);
 	}
 
-	private dropOld(now: number): void {
-		const { windowMs, retentionMs: keptMs } = this.opts;
+	private dropExpired(now: number): void {
+		const { windowMs, retentionMs } = this.opts;
 		for (const window of this.windows.keys()) {
-			if ((window + 1) * windowMs + keptMs < now) {
+			if ((window + 1) * windowMs + retentionMs < now) {
 				this.windows.delete(window);
 			}
 		}
 	}
 
-	/** That nothing began in a window is told too: others cannot tell it from silence. */
-	private fillUpTo(current: number): void {
-		const kept = Math.ceil(this.opts.retentionMs / this.opts.windowMs);
-		for (let window = Math.max(this.first, current - kept); window <= current; window++) {
+	/** Adds windows without requests, so that others can tell them from missing messages. */
+	private addEmptyWindows(current: number): void {
+		const retained = Math.ceil(this.opts.retentionMs / this.opts.windowMs);
+		for (let window = Math.max(this.firstWindow, current - retained); window <= current; window++) {
 			if (!this.windows.has(window)) {
 				this.windows.set(window, new Map());
 			}
--- a/src/core/duties/usage-records.ts
+++ b/src/core/duties/usage-records.ts
@@ -1,7 +1,7 @@
 /**
- * The last reports of usage as they stand in the store: what was sent to the platform, or was about to be, by any holder of the
- * duty. A store that came back from an older copy lacks the last of them. Then only the VM that held the duty at that moment knows
- * what was sent; any other gives up the windows that were over, since with its own counts it might contradict what the platform has.
+ * The last usage reports in the store: those that any duty holder sent or was about to send. After the store was restored from
+ * an older copy, only the VM that held the duty then knows what was sent; any other skips the windows that had ended, since its
+ * own counts might differ from what the platform received.
  * @module
  */
 import type { Log } from '../definitions.js';
@@ -10,14 +10,14 @@
 import type { DutyHolder } from './duty-holder.js';
 import type { UsageReport } from './types.js';
 
-/** Reports that stay in the store: those whose windows may still be sent again by another VM. */
-const keptReports = 4;
+/** Covers all windows that another VM may still have to send again. */
+const maxReports = 4;
 
-/** What stands under the key. */
-interface Stored {
-	/** Era of the store in which it was written. */
+/** Value of the store key. */
+interface StoredReports {
+	/** Era of the store at the time of the write. */
 	era: number;
-	/** Earlier windows may have been reported without standing here. */
+	/** Windows before this one may have been reported although they are not listed. */
 	doubtedBefore: number;
 	reports: UsageReport[];
 }
@@ -26,77 +26,77 @@
 	store: Store;
 	holder: DutyHolder;
 	log: Log;
-	/** Keys of the store: of the holder, and of the reports. */
+	/** Store keys of the duty holder and of the reports. */
 	keys: { holder: string; reports: string };
-	/** Number of the window that is not over yet. */
+	/** Index of the window that has not ended yet. */
 	currentWindow: () => number;
 }
 
 export class UsageRecords {
-	/** The oldest first; undefined until they were read under the holder's token. */
-	private current?: readonly UsageReport[];
-	private readUnder?: number;
-	/** What this VM read or wrote last, whatever became of the store since. */
-	private remembered: readonly UsageReport[] = [];
-	private doubtedBefore = 0;
-	/** This VM held the duty when the store came back: what it remembers is all there was. */
-	private remembersAll = false;
+	/** Oldest first; undefined until read under the current token. */
+	private loaded?: readonly UsageReport[];
+	private loadedToken?: number;
+	/** Reports that this VM last read or wrote, kept even if the store loses them. */
+	private knownReports: readonly UsageReport[] = [];
+	private uncertainBefore = 0;
+	/** This VM held the duty when the store was restored, so its known reports are complete. */
+	private knowsAllReports = false;
 
 	constructor(private readonly opts: UsageRecordsOptions) {}
 
 	get isLoaded(): boolean {
-		return this.current !== undefined;
+		return this.loaded !== undefined;
 	}
 
-	/** They are read again before the next use. */
+	/** Makes the next read fetch the reports from the store. */
 	invalidate(): void {
-		this.current = undefined;
+		this.loaded = undefined;
 	}
 
-	/** The store came back from an older copy; called before the holder gives up the duty for that. */
+	/** Handles a restored store; must be called before the holder gives up the duty. */
 	handleStoreRestored(): void {
 		this.invalidate();
-		this.remembersAll = this.opts.holder.token !== undefined;
+		this.knowsAllReports = this.opts.holder.token !== undefined;
 	}
 
-	/** Whether the window may have been reported without this VM knowing with which counts. */
+	/** Whether the window may have been reported with counts unknown to this VM. */
 	isUncertain(window: number): boolean {
-		const isKnown = this.current?.some((report) => report.window === window) ?? false;
-		return window < this.doubtedBefore && !isKnown;
+		const isKnown = this.loaded?.some((report) => report.window === window) ?? false;
+		return window < this.uncertainBefore && !isKnown;
 	}
 
 	/**
-	 * The last reports, the oldest first.
+	 * Returns the last reports, oldest first.
 	 * @throws StoreError
 	 */
 	async read(): Promise<readonly UsageReport[]> {
 		const { holder, store, keys } = this.opts;
 		const { token } = holder;
-		if (this.current && this.readUnder === token) {
-			return this.current;
+		if (this.loaded && this.loadedToken === token) {
+			return this.loaded;
 		}
 		const item = await store.get(keys.reports);
 		const stored = item && this.decode(item.value);
-		this.noteDoubt(stored, token);
-		this.current = this.withRemembered(stored?.reports ?? []);
-		this.readUnder = token;
-		return this.current;
+		this.updateUncertainty(stored, token);
+		this.loaded = this.mergeKnown(stored?.reports ?? []);
+		this.loadedToken = token;
+		return this.loaded;
 	}
 
 	/**
-	 * Writes a report that is about to be sent, under this VM's token.
-	 * @returns false when another VM has taken the duty, or this one a higher token
+	 * Stores a report before it is sent, under the condition that this VM's token is still current.
+	 * @returns false when another VM has acquired the duty or the token was raised
 	 * @throws StoreError
 	 */
 	async add(report: UsageReport): Promise<boolean> {
 		const { store, holder, keys } = this.opts;
 		const { token } = holder;
-		if (token === undefined || token !== this.readUnder || !this.current) {
+		if (token === undefined || token !== this.loadedToken || !this.loaded) {
 			return false;
 		}
-		const reports = [...this.current, report].slice(-keptReports);
-		const { doubtedBefore } = this;
-		const stored: Stored = { era: eraOf(token), doubtedBefore, reports };
+		const reports = [...this.loaded, report].slice(-maxReports);
+		const { uncertainBefore: doubtedBefore } = this;
+		const stored: StoredReports = { era: eraOf(token), doubtedBefore, reports };
 		const revision = await store.transact({
 			expected: [{ key: keys.holder, revision: token }],
 			write: [{ key: keys.reports, value: JSON.stringify(stored), lease: 0 }],
@@ -105,36 +105,36 @@
 			this.invalidate();
 			return false;
 		}
-		this.current = reports;
-		this.remembered = reports;
+		this.loaded = reports;
+		this.knownReports = reports;
 		return true;
 	}
 
-	private noteDoubt(stored: Stored | undefined, token: number | undefined): void {
+	private updateUncertainty(stored: StoredReports | undefined, token: number | undefined): void {
 		const era = eraOf(token ?? 0);
-		// In era 0 no store ever came back from a copy.
+		// In era 0 the store has never been restored.
 		if (era === 0 || stored?.era === era) {
-			this.doubtedBefore = Math.max(this.doubtedBefore, stored?.doubtedBefore ?? 0);
-		} else if (!this.remembersAll) {
-			this.doubtedBefore = this.opts.currentWindow();
-			this.opts.log.warn('usage.doubted', { before: this.doubtedBefore, era: stored?.era });
+			this.uncertainBefore = Math.max(this.uncertainBefore, stored?.doubtedBefore ?? 0);
+		} else if (!this.knowsAllReports) {
+			this.uncertainBefore = this.opts.currentWindow();
+			this.opts.log.warn('usage.doubted', { before: this.uncertainBefore, era: stored?.era });
 		}
-		this.remembersAll = false;
+		this.knowsAllReports = false;
 	}
 
-	/** What this VM knows goes before what the store holds, which may be older. */
-	private withRemembered(stored: readonly UsageReport[]): readonly UsageReport[] {
-		const known = new Set(this.remembered.map(({ window }) => window));
+	/** Known reports take precedence over stored ones, which may be older. */
+	private mergeKnown(stored: readonly UsageReport[]): readonly UsageReport[] {
+		const known = new Set(this.knownReports.map(({ window }) => window));
 		const others = stored.filter(({ window }) => !known.has(window));
-		const all = [...others, ...this.remembered].sort((a, b) => a.window - b.window);
-		this.remembered = all.slice(-keptReports);
-		return this.remembered;
+		const all = [...others, ...this.knownReports].sort((a, b) => a.window - b.window);
+		this.knownReports = all.slice(-maxReports);
+		return this.knownReports;
 	}
 
-	/** Another writer's text holds no report. */
-	private decode(text: string): Stored | undefined {
+	/** An unreadable value counts as no reports. */
+	private decode(text: string): StoredReports | undefined {
 		try {
-			const stored = JSON.parse(text) as Stored;
+			const stored = JSON.parse(text) as StoredReports;
 			return Array.isArray(stored.reports) ? stored : undefined;
 		} catch (err) {
 			this.opts.log.error('usage.unreadable', { error: (err as Error).message });
--- a/src/core/duties/usage-reporter.ts
+++ b/src/core/duties/usage-reporter.ts
@@ -1,7 +1,6 @@
 /**
- * Reports the counts of each window to the platform, once: what is about to be sent stands in the store first, so that a
- * VM that takes over sends the same again, or knows that nothing was sent. The write is bound to the holder's own token:
- * one that was overtaken cannot write.
+ * Reports the counts of each window to the platform once. A report is stored before it is sent, so that a successor sends the same
+ * one again or knows that none was sent. The write is conditional on the token, so a superseded holder cannot write.
  * @module
  */
 import type { Clock, Log } from '../definitions.js';
@@ -14,30 +13,21 @@
 import type { UsageCollector } from './usage-collector.js';
 import { UsageRecords } from './usage-records.js';
 
-/**
- * A VM that takes the duty hears all counts within so long, in milliseconds: the others learn of it by news within a third
- * of a second, and tell again after half a second what was lost. Before, it takes its own counts for all there are.
- */
-const hearsAllMs = 2000;
-/**
- * VMs tell what they counted at least once a window: one that was silent for so many is dead, or cut off for longer than its
- * counts can be waited for. Its registration outlives it by some twenty seconds.
- */
-const silentWindows = 2;
-/** Counts are on their way for so long after the end of a window, in milliseconds. */
+/** Time after a takeover in which the counts of all VMs arrive; until then a window may be incomplete. */
+const collectionMs = 2000;
+/** VMs that have not reported for this many windows are considered dead or isolated and not waited for. */
+const maxSilentWindows = 2;
+/** Time after the end of a window in which its last counts arrive. */
 const settleMs = 150;
-/**
- * Left for the report itself when counts are waited for, in milliseconds: longer than most outages of the store that begin
- * meanwhile, and than a few calls to a slow platform.
- */
-const reportingMs = 4500;
-/** Between two tries of a call that brought nothing, in milliseconds: doubled each time, up to the longest. */
-const firstRetryMs = 250;
-const mostRetryMs = 1000;
-/** The platform's answers are remembered for so many windows. */
-const rememberedWindows = 8;
-/** A window is given up so many times the delay that is allowed after its end: its counts are of no use any more. */
-const givenUpDelays = 2;
+/** Time reserved for sending when waiting for counts; covers short outages of the store and a slow platform. */
+const reportReserveMs = 4500;
+/** Exponential back-off between failed attempts. */
+const minRetryMs = 250;
+const maxRetryMs = 1000;
+/** Number of windows whose acceptance is remembered. */
+const retainedWindows = 8;
+/** A window is abandoned after this multiple of the allowed delay. */
+const maxDelays = 2;
 
 export interface UsageReporterOptions {
 	store: Store;
@@ -47,14 +37,14 @@
 	clock: Clock;
 	log: Log;
 	vm: string;
-	/** Keys of the store: of the holder, and of the reports. */
+	/** Store keys of the duty holder and of the reports. */
 	keys: { holder: string; reports: string };
 	windowMs: number;
-	/** A report is due so long after its window, in milliseconds. */
+	/** Allowed time from the end of a window to its report, in milliseconds. */
 	delayMs: number;
-	/** Unix milliseconds that all VMs agree on. */
+	/** Unix milliseconds of the fleet clock. */
 	time: () => number;
-	/** Names of the VMs that are registered, this one included. */
+	/** Names of the registered VMs, including this one. */
 	vms: () => readonly string[];
 	onReported: () => void;
 	onReportedLate: () => void;
@@ -62,14 +52,14 @@
 
 export class UsageReporter {
 	private readonly records: UsageRecords;
-	/** A write got no answer and may be done later; under a higher token it is refused then. */
+	/** A write got no answer and may be executed later; raising the token makes it fail. */
 	private mustRaiseToken = false;
-	/** Windows that the platform has taken. */
-	private readonly taken = new Set<number>();
+	/** Windows that the platform accepted or that had no requests. */
+	private readonly acceptedWindows = new Set<number>();
 	private isBusy = false;
 	private heldSince?: number;
 	private retryAt = 0;
-	private retryMs = firstRetryMs;
+	private retryMs = minRetryMs;
 
 	constructor(private readonly opts: UsageReporterOptions) {
 		const { store, holder, log, keys, windowMs } = opts;
@@ -85,19 +75,19 @@
 		this.isBusy = true;
 		try {
 			const isDone = await this.step();
-			this.retryMs = isDone ? firstRetryMs : Math.min(this.retryMs * 2, mostRetryMs);
+			this.retryMs = isDone ? minRetryMs : Math.min(this.retryMs * 2, maxRetryMs);
 			this.retryAt = isDone ? 0 : this.opts.clock.monotonic() + this.retryMs;
 		} finally {
 			this.isBusy = false;
 		}
 	}
 
-	/** The store came back from an older copy; called before the holder gives up the duty for that. */
+	/** Handles a restored store; must be called before the holder gives up the duty. */
 	handleStoreRestored(): void {
 		this.records.handleStoreRestored();
 	}
 
-	/** @returns false when something should be tried again after a pause */
+	/** @returns false when the step should be retried after a back-off */
 	private async step(): Promise<boolean> {
 		const { holder, clock } = this.opts;
 		if (holder.actingToken === undefined) {
@@ -113,31 +103,32 @@
 		if (window === undefined && this.records.isLoaded) {
 			return true;
 		}
-		const written = await this.read();
-		if (!written) {
+		const reports = await this.loadReports();
+		if (!reports) {
 			return false;
 		}
-		const again = written.find((report) => this.isOpen(report.window));
-		if (again) {
-			return this.send(again);
+		const unsent = reports.find((report) => this.isPending(report.window));
+		if (unsent) {
+			return this.send(unsent);
 		}
-		return window === undefined || !this.isOpen(window) || this.report(window);
+		return window === undefined || !this.isPending(window) || this.report(window);
 	}
 
-	/** The oldest window whose counts are whole, or that cannot be waited for any longer. */
+	/** The oldest window that is complete or has no time left to wait. */
 	private nextWindow(): number | undefined {
 		const { collector, windowMs, delayMs } = this.opts;
 		const now = this.opts.time();
 		const { heldForMs } = this;
-		// Since it holds the duty, it would have heard every VM that lives.
-		const silentMs = windowMs * silentWindows < heldForMs ? windowMs * silentWindows : Infinity;
+		// After this long as holder, every live VM must have reported.
+		const silentMs =
+			windowMs * maxSilentWindows < heldForMs ? windowMs * maxSilentWindows : Infinity;
 		const vms = this.opts.vms();
 		const isComplete = (window: number) => collector.isComplete(window, vms, silentMs);
 		for (const window of collector.knownWindows) {
-			const agoMs = now - (window + 1) * windowMs;
-			const isReady = heldForMs > hearsAllMs && agoMs > settleMs && isComplete(window);
-			const isLate = agoMs > Math.max(settleMs, delayMs - reportingMs);
-			if (this.isOpen(window) && (isReady || isLate)) {
+			const ageMs = now - (window + 1) * windowMs;
+			const isReady = heldForMs > collectionMs && ageMs > settleMs && isComplete(window);
+			const isLate = ageMs > Math.max(settleMs, delayMs - reportReserveMs);
+			if (this.isPending(window) && (isReady || isLate)) {
 				return window;
 			}
 		}
@@ -149,41 +140,41 @@
 		return now - (this.heldSince ?? now);
 	}
 
-	private isOpen(window: number): boolean {
-		if (this.taken.has(window) || this.records.isUncertain(window)) {
+	private isPending(window: number): boolean {
+		if (this.acceptedWindows.has(window) || this.records.isUncertain(window)) {
 			return false;
 		}
 		const { windowMs, delayMs } = this.opts;
-		const agoMs = this.opts.time() - (window + 1) * windowMs;
-		return agoMs < delayMs * givenUpDelays;
+		const ageMs = this.opts.time() - (window + 1) * windowMs;
+		return ageMs < delayMs * maxDelays;
 	}
 
-	/** What was sent, or was about to be, by this VM or the holders before. */
-	private async read(): Promise<readonly UsageReport[] | undefined> {
+	/** Reports that this or an earlier holder sent or was about to send. */
+	private async loadReports(): Promise<readonly UsageReport[] | undefined> {
 		try {
 			return await this.records.read();
 		} catch (err) {
-			return this.storeFailed(err);
+			return this.logStoreError(err);
 		}
 	}
 
 	private async report(window: number): Promise<boolean> {
 		const counts = this.opts.collector.countsOf(window);
 		if (counts.length === 0) {
-			this.finished(window);
+			this.markAccepted(window);
 			return true;
 		}
 		const report = { window, counts };
-		return (await this.write(report)) && this.send(report);
+		return (await this.persist(report)) && this.send(report);
 	}
 
-	/** @returns whether the report stands in the store, written under this VM's token */
-	private async write(report: UsageReport): Promise<boolean> {
+	/** @returns whether the report was stored under this VM's token */
+	private async persist(report: UsageReport): Promise<boolean> {
 		try {
 			return await this.records.add(report);
 		} catch (err) {
 			this.mustRaiseToken = err instanceof StoreError && err.failure === storeFailures.unknown;
-			this.storeFailed(err);
+			this.logStoreError(err);
 			return false;
 		}
 	}
@@ -210,35 +201,35 @@
 			holder.handleRefusal(token);
 		}
 		if (answer === dutyAnswers.done) {
-			this.finished(window);
-			this.noteDelay(window);
+			this.markAccepted(window);
+			this.recordDelay(window);
 		}
 		return answer === dutyAnswers.done;
 	}
 
-	private finished(window: number): void {
-		this.taken.add(window);
-		const oldest = window - rememberedWindows;
+	private markAccepted(window: number): void {
+		this.acceptedWindows.add(window);
+		const oldest = window - retainedWindows;
 		this.opts.collector.dropBefore(oldest);
-		for (const other of this.taken) {
+		for (const other of this.acceptedWindows) {
 			if (other < oldest) {
-				this.taken.delete(other);
+				this.acceptedWindows.delete(other);
 			}
 		}
 	}
 
-	private noteDelay(window: number): void {
+	private recordDelay(window: number): void {
 		const { windowMs, delayMs } = this.opts;
-		const agoMs = this.opts.time() - (window + 1) * windowMs;
-		if (agoMs <= delayMs) {
+		const ageMs = this.opts.time() - (window + 1) * windowMs;
+		if (ageMs <= delayMs) {
 			this.opts.onReported();
 			return;
 		}
-		this.opts.log.warn('usage.late', { window, late_ms: Math.round(agoMs - delayMs) });
+		this.opts.log.warn('usage.late', { window, late_ms: Math.round(ageMs - delayMs) });
 		this.opts.onReportedLate();
 	}
 
-	private storeFailed(err: unknown): undefined {
+	private logStoreError(err: unknown): undefined {
 		if (!(err instanceof StoreError)) {
 			throw err;
 		}
--- a/src/core/duties/usage-sender.ts
+++ b/src/core/duties/usage-sender.ts
@@ -1,116 +1,115 @@
 /**
- * Tells the holder of the duty what this VM counted: now and then while a window runs, so that little is lost with a VM,
- * and as soon as it is over; again until the holder says that it has all of it.
+ * Sends the counts of this VM to the duty holder: periodically while a window is open, and once it has ended until the holder
+ * acknowledges all of it.
  * @module
  */
 import type { UsageAck, UsageCounts } from './types.js';
 import type { UsageCounter, WindowUsage } from './usage-counter.js';
 
-/** Between two looks at what was counted, in milliseconds: a window's end is told a fifth of a second late at the most. */
-const lookMs = 200;
-/** Between two messages of a window that runs, in milliseconds; a VM that dies takes so much of its counts along. */
-const runningMs = 500;
-/** Between two messages of a window that is over, until it is taken, in milliseconds; ten times the way there and back. */
-const againMs = 150;
-/** Longest such pause: the holder may be gone, or cut off. */
-const mostAgainMs = 1200;
-/** Customers of one message: 25 bytes each fit a datagram beside its head. */
-const customersEach = 48;
+/** Interval between checks for windows to send; bounds the delay after the end of a window. */
+const checkIntervalMs = 200;
+/** Interval between messages about an open window; bounds the counts lost when a VM dies. */
+const openWindowIntervalMs = 500;
+/** First interval between messages about an ended window; doubles until it is acknowledged. */
+const minResendMs = 150;
+const maxResendMs = 1200;
+/** Keeps a message within one datagram. */
+const maxCustomersPerMessage = 48;
 
 export interface UsageSenderOptions {
 	vm: string;
-	/** Tells this process from an earlier one of the same VM. */
+	/** Distinguishes processes of the same VM. */
 	incarnation: number;
-	/** Where this VM hears answers, as IP:PORT. */
+	/** Address for acknowledgements, as IP:PORT. */
 	address: string;
 	counter: UsageCounter;
 	/** Monotonic milliseconds. */
 	now: () => number;
-	/** Unix milliseconds that all VMs agree on. */
+	/** Unix milliseconds of the fleet clock. */
 	time: () => number;
 	send: (to: string, usage: UsageCounts) => void;
 }
 
-interface Told {
-	at: number;
-	/** Requests that the holder was told of. */
+interface SentState {
+	sentAt: number;
+	/** Requests that were sent to the holder. */
 	total: number;
 	isFinal: boolean;
-	againMs: number;
-	isTaken: boolean;
+	resendMs: number;
+	isAcknowledged: boolean;
 }
 
 export class UsageSender {
-	/** What the holder was told, by window. */
-	private readonly told = new Map<number, Told>();
+	/** What was sent to the current holder, by window. */
+	private readonly sent = new Map<number, SentState>();
 	private holder?: string;
-	private lookAt = 0;
+	private nextCheckAt = 0;
 
 	constructor(private readonly opts: UsageSenderOptions) {}
 
 	/**
 	 * Sends what is due; called several times a second.
-	 * @param holder address of the VM that holds the duty; undefined while none is known
+	 * @param holder address of the duty holder; undefined while none is known
 	 */
 	update(holder: string | undefined): void {
 		if (holder !== this.holder) {
 			this.holder = holder;
-			this.told.clear();
-			this.lookAt = 0;
+			this.sent.clear();
+			this.nextCheckAt = 0;
 		}
 		const now = this.opts.now();
-		if (now < this.lookAt) {
+		if (now < this.nextCheckAt) {
 			return;
 		}
-		this.lookAt = now + lookMs;
+		this.nextCheckAt = now + checkIntervalMs;
 		const windows = this.opts.counter.read();
-		this.forgetOthers(windows);
+		this.dropExpired(windows);
 		if (holder !== undefined) {
 			for (const window of windows.filter((one) => this.isDue(one))) {
-				this.tell(holder, window);
+				this.sendWindow(holder, window);
 			}
 		}
 	}
 
-	/** The holder has taken in what it was told. */
+	/** Processes an acknowledgement of the holder. */
 	handleAck({ incarnation, window, total }: UsageAck): void {
-		const told = this.told.get(window);
-		if (incarnation === this.opts.incarnation && told?.isFinal && told.total === total) {
-			told.isTaken = true;
+		const state = this.sent.get(window);
+		if (incarnation === this.opts.incarnation && state?.isFinal && state.total === total) {
+			state.isAcknowledged = true;
 		}
 	}
 
 	private isDue({ window, total, isFinal }: WindowUsage): boolean {
-		const told = this.told.get(window);
-		if (!told || (isFinal && !told.isFinal) || (isFinal && told.total !== total)) {
+		const state = this.sent.get(window);
+		if (!state || (isFinal && !state.isFinal) || (isFinal && state.total !== total)) {
 			return true;
 		}
-		const pauseMs = isFinal ? told.againMs : runningMs;
-		const hasNews = isFinal ? !told.isTaken : told.total !== total;
-		return hasNews && this.opts.now() - told.at >= pauseMs;
+		const intervalMs = isFinal ? state.resendMs : openWindowIntervalMs;
+		const hasChanges = isFinal ? !state.isAcknowledged : state.total !== total;
+		return hasChanges && this.opts.now() - state.sentAt >= intervalMs;
 	}
 
-	private tell(to: string, { window, total, isFinal, counts }: WindowUsage): void {
-		const before = this.told.get(window);
+	private sendWindow(to: string, { window, total, isFinal, counts }: WindowUsage): void {
+		const before = this.sent.get(window);
 		const isRepeat = before?.isFinal === true && before.total === total;
-		const pauseMs = isRepeat ? Math.min(before.againMs * 2, mostAgainMs) : againMs;
-		const at = this.opts.now();
-		this.told.set(window, { at, total, isFinal, againMs: pauseMs, isTaken: false });
+		const intervalMs = isRepeat ? Math.min(before.resendMs * 2, maxResendMs) : minResendMs;
+		const sentAt = this.opts.now();
+		this.sent.set(window, { sentAt, total, isFinal, resendMs: intervalMs, isAcknowledged: false });
 		const { vm, incarnation, address } = this.opts;
-		const head = { vm, incarnation, address, window, total, isFinal };
+		const common = { vm, incarnation, address, window, total, isFinal };
 		let from = 0;
 		do {
-			const part = counts.slice(from, from + customersEach);
-			this.opts.send(to, { ...head, sentAt: this.opts.time(), counts: part });
-			from += customersEach;
+			const part = counts.slice(from, from + maxCustomersPerMessage);
+			this.opts.send(to, { ...common, sentAt: this.opts.time(), counts: part });
+			from += maxCustomersPerMessage;
 		} while (from < counts.length);
 	}
 
-	private forgetOthers(windows: readonly WindowUsage[]): void {
+	private dropExpired(windows: readonly WindowUsage[]): void {
 		const kept = new Set(windows.map(({ window }) => window));
-		for (const window of this.told.keys()) {
+		for (const window of this.sent.keys()) {
 			if (!kept.has(window)) {
-				this.told.delete(window);
+				this.sent.delete(window);
 			}
 		}
 	}
--- a/src/core/membership/gossip-queue.ts
+++ b/src/core/membership/gossip-queue.ts
@@ -1,37 +1,38 @@
 /**
- * News of members that ride on the failure detector's messages, each a bounded number of times.
+ * Queue of member updates that are piggybacked on the failure detector's messages, each a limited number of times.
  * @module
  */
 
-/** News that ride on one message. */
-const perMessage = 6;
-/** News is passed on this many times the logarithm of the fleet's size. */
-const spreadFactor = 4;
+const maxUpdatesPerMessage = 6;
+/** An update is sent this factor times the logarithm of the fleet size. */
+const retransmitFactor = 4;
 
 export class GossipQueue {
-	/** Times that each member's news is still to be passed on. */
-	private readonly left = new Map<string, number>();
+	/** Remaining transmissions of the update of each member. */
+	private readonly transmissionsLeft = new Map<string, number>();
 
-	/** There is something new of a member. */
+	/** Queues the update of a member, replacing an earlier one. */
 	enqueue(id: string, fleetSize: number): void {
-		const times = Math.ceil(spreadFactor * Math.log2(fleetSize + 1));
-		this.left.set(id, times);
+		const transmissions = Math.ceil(retransmitFactor * Math.log2(fleetSize + 1));
+		this.transmissionsLeft.set(id, transmissions);
 	}
 
 	remove(id: string): void {
-		this.left.delete(id);
+		this.transmissionsLeft.delete(id);
 	}
 
-	/** Members whose news goes with the next message: those passed on least. */
+	/** Returns the members whose updates go with the next message, least transmitted first. */
 	takeNext(): string[] {
-		const fresh = [...this.left.entries()].sort((a, b) => b[1] - a[1]).slice(0, perMessage);
-		for (const [id, left] of fresh) {
+		const next = [...this.transmissionsLeft.entries()]
+			.sort((a, b) => b[1] - a[1])
+			.slice(0, maxUpdatesPerMessage);
+		for (const [id, left] of next) {
 			if (left <= 1) {
-				this.left.delete(id);
+				this.transmissionsLeft.delete(id);
 			} else {
-				this.left.set(id, left - 1);
+				this.transmissionsLeft.set(id, left - 1);
 			}
 		}
-		return fresh.map(([id]) => id);
+		return next.map(([id]) => id);
 	}
 }
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -1,6 +1,6 @@
 /**
- * Who is alive, by probing one member at a time and passing news on with the probes. The cost
- * for each member does not grow with the fleet. Source: Das, Gupta and Motivala, "SWIM", 2002.
+ * Failure detector with gossip: probes one member at a time and piggybacks updates on the probes, so that the cost per member
+ * does not grow with the fleet. Implements Das, Gupta and Motivala, "SWIM", 2002.
  * @module
  */
 import type { Clock, Random, VmEntry } from '../definitions.js';
@@ -8,25 +8,24 @@
 import type { Member, MembershipMessage, MemberUpdate, OutgoingMessage } from './types.js';
 import { memberStates } from './types.js';
 
-/** Members asked to probe for us when a probe gets no answer. */
-const helpers = 3;
-/** A probe is answered within this share of the probe time, else helpers are asked. */
-const directShare = 0.4;
-/** A suspect is dead after this many probe times, unless it speaks up. */
-const suspectProbes = 4;
-/** A dead member is forgotten after so long, in milliseconds. */
-const forgetMs = 600_000;
-/** Probes go to dead members of the list too, once in so many, so that cut halves find back. */
-const deadProbeEvery = 5;
+/** Number of members that probe on behalf of this one after an unanswered probe. */
+const indirectProbes = 3;
+/** Share of the probe interval after which an unanswered probe is tried indirectly. */
+const directProbeShare = 0.4;
+/** Probe intervals after which a suspect that does not refute is declared dead. */
+const suspectTimeoutProbes = 4;
+/** Time after which a dead member is removed. */
+const deadRetentionMs = 600_000;
+/** Every n-th probe goes to a dead member, so that a partitioned fleet merges again. */
+const deadProbeInterval = 5;
 
 export interface MembershipOptions {
 	self: { id: string; address: string; port: number; domain: string };
 	clock: Clock;
 	random: Random;
-	/** Time between two probes, in milliseconds. */
 	probeIntervalMs: number;
 	send: (out: OutgoingMessage<MembershipMessage>) => void;
-	/** Called when a member came, left, or was declared dead. */
+	/** Called when a member joined, left or changed its state. */
 	onChange: (member: Member) => void;
 }
 
@@ -34,26 +33,26 @@
 	seq: number;
 	target: string;
 	sentAt: number;
-	helped: boolean;
+	isIndirect: boolean;
 }
 
-interface Relay {
+interface RelayedProbe {
 	seq: number;
 	to: Member;
-	until: number;
+	expiresAt: number;
 }
 
 export class Membership {
 	private readonly members = new Map<string, Member>();
 	private readonly changedAt = new Map<string, number>();
-	private readonly news = new GossipQueue();
-	private order: string[] = [];
-	private readonly relays = new Map<number, Relay>();
+	private readonly gossip = new GossipQueue();
+	private probeOrder: string[] = [];
+	private readonly relayedProbes = new Map<number, RelayedProbe>();
 	private probe?: Probe;
 	private seq = 0;
 	private round = 0;
 	private nextProbeAt = 0;
-	private listed = 0;
+	private listedCount = 0;
 
 	constructor(private readonly opts: MembershipOptions) {
 		const { self } = opts;
@@ -70,7 +69,7 @@
 		return this.members.get(this.opts.self.id) as Member;
 	}
 
-	/** Members believed alive or only suspected, this one included, by name. */
+	/** Members that are alive or suspect, including this one, sorted by id. */
 	liveMembers(): Member[] {
 		const live = [...this.members.values()].filter((member) => member.state !== memberStates.dead);
 		return live.sort((a, b) => (a.id < b.id ? -1 : 1));
@@ -85,29 +84,29 @@
 	}
 
 	/**
-	 * Share of the listed fleet that this member sees. Below one half it may be the cut-off part
-	 * and must not claim whole endpoints.
+	 * Share of the listed fleet that this member sees. Below one half it may be in the minority of a network partition and
+	 * must not claim whole endpoints.
 	 */
 	visibleShare(): number {
-		const known = Math.max(this.listed, 1);
+		const known = Math.max(this.listedCount, 1);
 		return Math.min(this.liveMembers().length / known, 1);
 	}
 
-	/** Tells the others which configuration this member has in force. */
+	/** Announces the configuration version in force at this member. */
 	setConfigurationVersion(version: number): void {
 		const { self } = this;
 		self.version = version;
-		this.spread(self.id);
+		this.enqueueUpdate(self.id);
 	}
 
-	/** Takes in the platform's list: names candidates, nothing more, since it lags. */
+	/** Adds members from the platform's list, which may be outdated and does not override gossip. */
 	addCandidates(vms: readonly VmEntry[]): void {
-		this.listed = vms.filter((vm) => !vm.leaving).length;
+		this.listedCount = vms.filter((vm) => !vm.leaving).length;
 		for (const vm of vms) {
 			const known = this.members.get(vm.id);
-			const moved = known && (known.port !== vm.controlPort || known.address !== vm.address);
-			if (!known || (moved && known.state === memberStates.dead)) {
-				this.learn({
+			const hasMoved = known && (known.port !== vm.controlPort || known.address !== vm.address);
+			if (!known || (hasMoved && known.state === memberStates.dead)) {
+				this.addMember({
 					id: vm.id,
 					address: vm.address,
 					port: vm.controlPort,
@@ -120,7 +119,7 @@
 		}
 	}
 
-	/** Moves time on; called several times in a probe time. */
+	/** Runs timers; called several times per probe interval. */
 	tick(): void {
 		const now = this.opts.clock.monotonic();
 		this.checkProbe(now);
@@ -137,30 +136,30 @@
 			this.merge(update);
 		}
 		if (message.kind === 'ping') {
-			this.reply(message.from, message.seq);
+			this.sendAck(message.from, message.seq);
 		} else if (message.kind === 'ack') {
-			this.acked(message);
+			this.handleAck(message);
 		} else {
-			this.helpProbe(message);
+			this.relayProbe(message);
 		}
 	}
 
-	/** This member stops: the others need not wait for the probes. */
+	/** Announces that this member stops, so that the others need not detect it. */
 	leave(): void {
 		const { self } = this;
 		self.state = memberStates.dead;
 		self.incarnation++;
-		this.spread(self.id);
-		for (const member of this.liveMembers().slice(0, helpers * 2)) {
+		this.enqueueUpdate(self.id);
+		for (const member of this.liveMembers().slice(0, indirectProbes * 2)) {
 			this.send(member, { kind: 'ping', seq: 0, from: self, updates: [] });
 		}
 	}
 
-	/** This process was paused: others may have given it up. */
+	/** Refutes a possible suspicion after this process was paused. */
 	handleProcessResumed(): void {
 		this.probe = undefined;
 		this.self.incarnation++;
-		this.spread(this.self.id);
+		this.enqueueUpdate(this.self.id);
 	}
 
 	private startProbe(now: number): void {
@@ -169,25 +168,25 @@
 			return;
 		}
 		this.seq++;
-		this.probe = { seq: this.seq, target: target.id, sentAt: now, helped: false };
-		this.ping(target, this.seq);
+		this.probe = { seq: this.seq, target: target.id, sentAt: now, isIndirect: false };
+		this.sendPing(target, this.seq);
 	}
 
-	/** Each member once in a shuffled round; now and then a dead one. */
+	/** Picks each live member once per shuffled round, and regularly a dead one. */
 	private nextTarget(): Member | undefined {
 		this.round++;
 		const dead = this.allMembers().filter((member) => member.state === memberStates.dead);
-		if (this.round % deadProbeEvery === 0 && dead.length > 0) {
+		if (this.round % deadProbeInterval === 0 && dead.length > 0) {
 			return dead[Math.floor(this.opts.random.next() * dead.length)];
 		}
 		for (let tries = 0; tries < 2; tries++) {
-			while (this.order.length > 0) {
-				const member = this.members.get(this.order.pop() as string);
+			while (this.probeOrder.length > 0) {
+				const member = this.members.get(this.probeOrder.pop() as string);
 				if (member && member.state !== memberStates.dead && member.id !== this.self.id) {
 					return member;
 				}
 			}
-			this.order = shuffled(
+			this.probeOrder = shuffled(
 				this.liveMembers().map((member) => member.id),
 				this.opts.random,
 			);
@@ -200,28 +199,28 @@
 		if (!probe) {
 			return;
 		}
-		const waited = now - probe.sentAt;
-		if (!probe.helped && waited > this.opts.probeIntervalMs * directShare) {
-			probe.helped = true;
-			this.askHelpers(probe);
+		const elapsedMs = now - probe.sentAt;
+		if (!probe.isIndirect && elapsedMs > this.opts.probeIntervalMs * directProbeShare) {
+			probe.isIndirect = true;
+			this.requestIndirectProbes(probe);
 		}
-		if (waited > this.opts.probeIntervalMs * 0.95) {
+		if (elapsedMs > this.opts.probeIntervalMs * 0.95) {
 			this.probe = undefined;
 			this.suspect(probe.target);
 		}
 	}
 
-	private askHelpers(probe: Probe): void {
+	private requestIndirectProbes(probe: Probe): void {
 		const others = this.liveMembers().filter(
 			(member) => member.id !== probe.target && member.id !== this.self.id,
 		);
-		for (const helper of shuffled(others, this.opts.random).slice(0, helpers)) {
+		for (const helper of shuffled(others, this.opts.random).slice(0, indirectProbes)) {
 			this.send(helper, {
 				kind: 'ping-req',
 				seq: probe.seq,
 				from: this.self,
 				target: probe.target,
-				updates: this.takeNews(),
+				updates: this.takeUpdates(),
 			});
 		}
 	}
@@ -238,56 +237,56 @@
 			const since = now - (this.changedAt.get(member.id) ?? now);
 			if (
 				member.state === memberStates.suspect &&
-				since > suspectProbes * this.opts.probeIntervalMs
+				since > suspectTimeoutProbes * this.opts.probeIntervalMs
 			) {
 				this.merge({ ...member, state: memberStates.dead });
-			} else if (member.state === memberStates.dead && since > forgetMs) {
+			} else if (member.state === memberStates.dead && since > deadRetentionMs) {
 				this.members.delete(member.id);
-				this.news.remove(member.id);
+				this.gossip.remove(member.id);
 			}
 		}
 	}
 
-	private acked(message: MembershipMessage & { kind: 'ack' }): void {
+	private handleAck(message: MembershipMessage & { kind: 'ack' }): void {
 		if (this.probe?.target === message.from.id) {
 			this.probe = undefined;
 		}
-		const relay = this.relays.get(message.seq);
+		const relay = this.relayedProbes.get(message.seq);
 		if (relay) {
-			this.relays.delete(message.seq);
-			this.send(relay.to, { ...message, seq: relay.seq, updates: this.takeNews() });
+			this.relayedProbes.delete(message.seq);
+			this.send(relay.to, { ...message, seq: relay.seq, updates: this.takeUpdates() });
 		}
 	}
 
-	/** Probes a member for another, and passes its answer back. */
-	private helpProbe(message: MembershipMessage & { kind: 'ping-req' }): void {
+	/** Probes a member on behalf of another and forwards its answer. */
+	private relayProbe(message: MembershipMessage & { kind: 'ping-req' }): void {
 		const target = this.members.get(message.target);
-		const asker = this.members.get(message.from.id);
-		if (!target || !asker) {
+		const requester = this.members.get(message.from.id);
+		if (!target || !requester) {
 			return;
 		}
 		const now = this.opts.clock.monotonic();
-		for (const [seq, relay] of this.relays) {
-			if (relay.until < now) {
-				this.relays.delete(seq);
+		for (const [seq, relay] of this.relayedProbes) {
+			if (relay.expiresAt < now) {
+				this.relayedProbes.delete(seq);
 			}
 		}
 		this.seq++;
-		this.relays.set(this.seq, {
+		this.relayedProbes.set(this.seq, {
 			seq: message.seq,
-			to: asker,
-			until: now + this.opts.probeIntervalMs,
+			to: requester,
+			expiresAt: now + this.opts.probeIntervalMs,
 		});
-		this.ping(target, this.seq);
+		this.sendPing(target, this.seq);
 	}
 
-	private reply(to: MemberUpdate, seq: number): void {
+	private sendAck(to: MemberUpdate, seq: number): void {
 		const member = this.members.get(to.id) ?? to;
-		this.send(member, { kind: 'ack', seq, from: this.self, updates: this.takeNews() });
+		this.send(member, { kind: 'ack', seq, from: this.self, updates: this.takeUpdates() });
 	}
 
-	private ping(member: Member, seq: number): void {
-		this.send(member, { kind: 'ping', seq, from: this.self, updates: this.takeNews() });
+	private sendPing(member: Member, seq: number): void {
+		this.send(member, { kind: 'ping', seq, from: this.self, updates: this.takeUpdates() });
 	}
 
 	private send(member: Member, message: MembershipMessage): void {
@@ -295,7 +294,7 @@
 		this.opts.send({ to: { id, address, port }, message });
 	}
 
-	/** Takes in news; a newer incarnation wins, and of one incarnation the worse state. */
+	/** Merges an update: a newer incarnation wins, or the worse state of the same incarnation. */
 	private merge(update: MemberUpdate): void {
 		if (update.id === this.self.id) {
 			this.refute(update);
@@ -304,7 +303,7 @@
 		const known = this.members.get(update.id);
 		if (!known) {
 			if (update.state !== memberStates.dead) {
-				this.learn({ ...update });
+				this.addMember({ ...update });
 			}
 			return;
 		}
@@ -314,56 +313,57 @@
 			}
 			return;
 		}
-		const changed = update.state !== known.state || update.port !== known.port;
+		const hasChanged = update.state !== known.state || update.port !== known.port;
 		Object.assign(known, update);
 		this.changedAt.set(known.id, this.opts.clock.monotonic());
-		this.spread(known.id);
-		if (changed) {
+		this.enqueueUpdate(known.id);
+		if (hasChanged) {
 			this.opts.onChange(known);
 		}
 	}
 
-	private learn(member: Member): void {
+	private addMember(member: Member): void {
 		this.members.set(member.id, member);
 		this.changedAt.set(member.id, this.opts.clock.monotonic());
-		this.spread(member.id);
+		this.enqueueUpdate(member.id);
 		this.opts.onChange(member);
 	}
 
-	/** Someone believes that this member is not alive: it says otherwise, louder. */
+	/** Refutes a report that this member is not alive by raising its incarnation. */
 	private refute(update: MemberUpdate): void {
 		const { self } = this;
-		const wrong = update.state !== memberStates.alive && self.state === memberStates.alive;
-		if (wrong && update.incarnation >= self.incarnation) {
+		const isWronglySuspected =
+			update.state !== memberStates.alive && self.state === memberStates.alive;
+		if (isWronglySuspected && update.incarnation >= self.incarnation) {
 			self.incarnation = update.incarnation + 1;
-			this.spread(self.id);
+			this.enqueueUpdate(self.id);
 		}
 	}
 
-	private spread(id: string): void {
-		this.news.enqueue(id, this.members.size);
+	private enqueueUpdate(id: string): void {
+		this.gossip.enqueue(id, this.members.size);
 	}
 
-	private takeNews(): MemberUpdate[] {
-		const members = this.news.takeNext().map((id) => this.members.get(id));
+	private takeUpdates(): MemberUpdate[] {
+		const members = this.gossip.takeNext().map((id) => this.members.get(id));
 		return members.filter((member) => member !== undefined).map((member) => ({ ...member }));
 	}
 }
 
-const badness = { alive: 0, suspect: 1, dead: 2 } as const;
+const stateRank = { alive: 0, suspect: 1, dead: 2 } as const;
 
 function isNewer(update: MemberUpdate, known: Member): boolean {
 	if (update.incarnation !== known.incarnation) {
 		return update.incarnation > known.incarnation;
 	}
-	return badness[update.state] > badness[known.state];
+	return stateRank[update.state] > stateRank[known.state];
 }
 
 function shuffled<T>(items: readonly T[], random: Random): T[] {
 	const copy = [...items];
-	for (let at = copy.length - 1; at > 0; at--) {
-		const other = Math.floor(random.next() * (at + 1));
-		[copy[at], copy[other]] = [copy[other] as T, copy[at] as T];
+	for (let index = copy.length - 1; index > 0; index--) {
+		const other = Math.floor(random.next() * (index + 1));
+		[copy[index], copy[other]] = [copy[other] as T, copy[index] as T];
 	}
 	return copy;
 }
--- a/src/core/membership/owner-map.ts
+++ b/src/core/membership/owner-map.ts
@@ -1,6 +1,6 @@
 /**
- * Owner of each key among the live members, kept up to date: a member that comes is compared with
- * the owners there are, and only the keys of one that went are chosen anew.
+ * Maps each key to its owner among the live members. Updates are incremental: a new member is compared with the current owners, and
+ * only the keys of a removed member are assigned again.
  * @module
  */
 import * as rendezvous from './rendezvous.js';
@@ -19,7 +19,7 @@
 		return this.choices.get(key)?.owner;
 	}
 
-	/** Sets the keys; owners of those that stay do not move. */
+	/** Sets the keys; remaining keys keep their owner. */
 	setKeys(keys: readonly string[]): void {
 		this.keys = keys;
 		const wanted = new Set(keys);
@@ -38,12 +38,12 @@
 	setMembers(members: readonly string[]): void {
 		const before = new Set(this.members);
 		const now = new Set(members);
-		const came = members.filter((member) => !before.has(member));
+		const added = members.filter((member) => !before.has(member));
 		this.members = members;
 		for (const key of this.keys) {
 			const choice = this.choices.get(key);
 			if (choice && now.has(choice.owner)) {
-				this.choose(key, came, choice);
+				this.choose(key, added, choice);
 			} else {
 				this.choices.delete(key);
 				this.choose(key, members);
@@ -51,12 +51,12 @@
 		}
 	}
 
-	private choose(key: string, among: readonly string[], start?: Choice): void {
+	private choose(key: string, candidates: readonly string[], start?: Choice): void {
 		let best = start;
-		for (const owner of among) {
+		for (const owner of candidates) {
 			const score = rendezvous.scoreOf(key, owner);
-			const wins = !best || score > best.score || (score === best.score && owner < best.owner);
-			best = wins ? { owner, score } : best;
+			const isBetter = !best || score > best.score || (score === best.score && owner < best.owner);
+			best = isBetter ? { owner, score } : best;
 		}
 		if (best) {
 			this.choices.set(key, best);
--- a/src/core/membership/types.ts
+++ b/src/core/membership/types.ts
@@ -1,13 +1,13 @@
 /**
- * Members of the fleet.
+ * Members of the fleet and messages of the failure detector.
  * @module
  */
 
-/** What is believed of a member. */
+/** State of a member as seen by another. */
 export const memberStates = { alive: 'alive', suspect: 'suspect', dead: 'dead' } as const;
 export type MemberState = (typeof memberStates)[keyof typeof memberStates];
 
-/** A daemon that others may talk to. */
+/** A daemon of the fleet. */
 export interface Member {
 	id: string;
 	address: string;
@@ -15,13 +15,13 @@
 	port: number;
 	domain: string;
 	state: MemberState;
-	/** Raised by the member itself when it hears that it is suspected. */
+	/** Raised by the member itself to refute a suspicion. */
 	incarnation: number;
-	/** Configuration version that it has in force, as last heard. */
+	/** Last known configuration version in force at the member. */
 	version: number;
 }
 
-/** News of one member, passed on with other messages. */
+/** Gossip about one member, piggybacked on messages. */
 export type MemberUpdate = Member;
 
 /** Messages of the failure detector. */
@@ -30,7 +30,7 @@
 	| { kind: 'ack'; seq: number; from: MemberUpdate; updates: MemberUpdate[] }
 	| { kind: 'ping-req'; seq: number; from: MemberUpdate; target: string; updates: MemberUpdate[] };
 
-/** A message and the member it goes to. */
+/** A message and its recipient. */
 export interface OutgoingMessage<T> {
 	to: { id: string; address: string; port: number };
 	message: T;
--- a/src/core/routing/configuration-state.ts
+++ b/src/core/routing/configuration-state.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the newest configuration in force. An older version never replaces a newer one.
+ * Holds the configuration in force. An older version never replaces a newer one.
  * @module
  */
 import type { Log } from '../definitions.js';
@@ -10,9 +10,9 @@
 
 export interface ConfigurationStateOptions {
 	log: Log;
-	/** Key that holds the newest configuration whole. */
+	/** Store key of the newest configuration. */
 	key: string;
-	/** @throws Error when the text is no configuration */
+	/** @throws Error when the text is not a valid configuration */
 	decode: (text: string) => RoutingConfiguration;
 	onApplied: (table: RouteTable) => void;
 }
@@ -32,30 +32,30 @@
 		return this.current?.version ?? 0;
 	}
 
-	/** The configuration in force as the store holds it, for peers. */
+	/** Text of the configuration in force, as stored, for peers. */
 	get text(): string | undefined {
 		return this.currentText;
 	}
 
 	applySnapshot(items: readonly StoreItem[]): void {
 		for (const item of items) {
-			this.takeItem(item);
+			this.applyItem(item);
 		}
 	}
 
 	applyChanges(changes: StoreChanges): void {
 		for (const event of changes.events) {
 			if (event.kind === 'put') {
-				this.takeItem(event.item);
+				this.applyItem(event.item);
 			}
 		}
 	}
 
 	handleStoreLost(): void {
-		// The version in force stays until a newer one is seen.
+		// The current configuration stays in force.
 	}
 
-	/** Takes in a configuration from the store or a peer. */
+	/** Applies a configuration from the store or a peer if its version is newer. */
 	applyIfNewer(text: string, source: string): void {
 		let configuration: RoutingConfiguration;
 		try {
@@ -78,7 +78,7 @@
 		this.opts.onApplied(this.current);
 	}
 
-	private takeItem(item: StoreItem): void {
+	private applyItem(item: StoreItem): void {
 		if (item.key === this.opts.key) {
 			this.applyIfNewer(item.value, 'store');
 		}
--- a/src/core/routing/types.ts
+++ b/src/core/routing/types.ts
@@ -1,9 +1,9 @@
 /**
- * What the operators want: routes, services, customers. The adapter of a deployment builds these.
+ * The operators' configuration: routes, services and customers. Built by the adapter of a deployment.
  * @module
  */
 
-/** How often a request of a route may run. */
+/** How often a request of a route may be executed. */
 export const repeatabilities = {
 	/** Any number of times. */
 	idempotent: 'idempotent',
@@ -12,10 +12,10 @@
 } as const;
 export type Repeatability = (typeof repeatabilities)[keyof typeof repeatabilities];
 
-/** Where a route sends its requests, with the share of each service. */
+/** Share of the requests of a route that a service receives. */
 export interface ServiceShare {
 	service: string;
-	/** Relative to the sum over the route. */
+	/** Relative to the sum of the weights of the route. */
 	weight: number;
 }
 
@@ -26,67 +26,64 @@
 	/** Starts and ends with a slash. */
 	pathPrefix: string;
 	repeatability: Repeatability;
-	/** The answer is a stream of events. */
 	isStreamed: boolean;
-	/** A broken stream may go on at another engine behind its last event. */
+	/** A broken stream may continue on another engine after its last event. */
 	isResumable: boolean;
-	/** Longest time that a request may be held, in milliseconds. */
+	/** Maximum duration of a request, in milliseconds. */
 	timeoutMs: number;
-	/** First event or whole answer within this time is on target, in milliseconds. */
+	/** Target for the first event or the whole answer, in milliseconds. */
 	targetMs: number;
-	/** Longest pause between events on target, in milliseconds; streams only. */
+	/** Target for the pause between events of a stream, in milliseconds. */
 	targetPauseMs?: number;
 	/** 0 is the most urgent. */
 	tier: number;
 	services: readonly ServiceShare[];
-	/** Most engines that one request may be sent to. */
+	/** Maximum number of engines that a request may be sent to. */
 	maxEngines: number;
-	/** No key is asked for. */
+	/** Requests need no key. */
 	allowsAnonymous: boolean;
-	/** Requests carry the parts of their prompt. */
 	hasPromptSegments: boolean;
 }
 
-/** Batch and memory of a model engine. */
+/** Batch size and KV cache capacity of a model engine. */
 export interface ModelCapacity {
-	/** Requests that run at once. */
+	/** Number of requests that run concurrently. */
 	slots: number;
-	/** Tokens that its memory holds. */
 	kvCapacityTokens: number;
 }
 
-/** How many engines of a service may be ordered, and what they cost. */
+/** Limits and prices for ordering engines of a service. */
 export interface ScalingLimits {
-	/** Of both kinds together, in each failure domain. */
+	/** Limits per failure domain, for spot and regular engines together. */
 	minEngines: number;
 	maxEngines: number;
-	/** From an order until an engine serves, in milliseconds. */
+	/** Time from an order until the engine serves, in milliseconds. */
 	bootMs: number;
-	/** Price of an engine that may be taken away, as a share of that of another. */
+	/** Price of a spot engine as a share of the regular price. */
 	spotPrice: number;
-	/** Failure domains where the service may run, with the price of an engine there. */
+	/** Failure domains where the service may run, with their price per engine. */
 	domains: readonly { name: string; price: number }[];
 }
 
 export interface Service {
 	name: string;
 	healthPath: string;
-	/** Connections that one engine accepts from all callers together. */
+	/** Connections that one engine accepts in total. */
 	maxConnections: number;
-	/** Present where the service's engines run language models. */
+	/** Present if the engines run language models. */
 	model?: ModelCapacity;
-	/** Present where engines may be ordered. */
+	/** Present if engines may be ordered. */
 	scaling?: ScalingLimits;
 }
 
 export interface Customer {
 	name: string;
 	keys: readonly string[];
-	/** Goes before the tier of the route. */
+	/** Orders requests within the tier of a route; defaults to the tier of the route. */
 	tier?: number;
 }
 
-/** Bounds on what a caller may send. */
+/** Limits on requests of callers. */
 export interface CallerLimits {
 	headBytes: number;
 	bodyBytes: number;
@@ -98,7 +95,7 @@
 
 /** One version of the operators' configuration. */
 export interface RoutingConfiguration {
-	/** Rises with each change, not always by one. */
+	/** Increases with each change, not necessarily by one. */
 	version: number;
 	routes: readonly Route[];
 	services: readonly Service[];
--- a/src/core/store/definitions.ts
+++ b/src/core/store/definitions.ts
@@ -1,49 +1,46 @@
 /**
- * Port to a revisioned store with ranges, watches, conditional writes and leases.
+ * Port to a revisioned key-value store with ranges, watches, conditional writes and leases.
  * @module
  */
 
 export interface StoreItem {
 	key: string;
-	/** Text of the value. */
 	value: string;
-	/** Revision of the last change of this key, in its era (`revisions.ts`), as all revisions of the port. */
+	/** Revision of the last change of this key; includes the era (see `revisions.ts`), like all revisions of this port. */
 	revision: number;
-	/** Lease that the key is bound to; 0 for none. */
+	/** Id of the lease that the key is bound to; 0 for none. */
 	lease: number;
 }
 
 export interface StoreRange {
 	items: StoreItem[];
-	/** A watch from this revision misses nothing that the range does not show. */
+	/** A watch from this revision reports every change after the range was read. */
 	revision: number;
 }
 
-/** A key was written, or it is gone. */
+/** A key was written or removed. */
 export type StoreEvent = { kind: 'put'; item: StoreItem } | { kind: 'gone'; key: string };
 
 export interface StoreChanges {
 	events: StoreEvent[];
-	/** Where the next watch goes on. */
+	/** Revision from which the next watch continues. */
 	revision: number;
 }
 
-/** The store came back from an older copy: what was written since that copy is gone. */
+/** The store was restored from an older copy, and later writes are lost. */
 export interface EraChange {
-	/** Of the answers before, and of this one. */
 	previousEra: number;
 	era: number;
 }
 
-/** Why a call to the store brought no result. */
+/** Reason for which a call to the store failed. */
 export const storeFailures = {
-	/** The store says that it did nothing. */
+	/** The store did not execute the call. */
 	refused: 'refused',
-	/** No answer; the call may have been done, or may be done later. */
+	/** No answer; the call may have been executed, or may be executed later. */
 	unknown: 'unknown',
-	/** The history that a watch asked for is no longer kept, or is of an earlier era. */
+	/** The history requested by a watch is no longer available or belongs to an earlier era. */
 	compacted: 'compacted',
-	/** The lease has ended. */
 	leaseEnded: 'lease-ended',
 } as const;
 export type StoreFailure = (typeof storeFailures)[keyof typeof storeFailures];
@@ -58,45 +55,42 @@
 	}
 }
 
-/** Writes that are all done, or none of them. */
+/** Atomic group of conditional writes. */
 export interface Transaction {
-	/** Revisions that the keys must have; 0 for a key that must be absent. */
+	/** Required revisions; 0 for a key that must be absent. */
 	expected: readonly { key: string; revision: number }[];
-	/** @param lease 0 for none */
+	/** A `lease` of 0 binds the key to none. */
 	write: readonly { key: string; value: string; lease: number }[];
 }
 
-/** Every method rejects with `StoreError`. */
+/** All methods reject with `StoreError`. */
 export interface Store {
 	/**
-	 * All items whose key starts with the prefix.
-	 * @param mayBeStale a cheaper read that may be seconds old
+	 * Returns all items whose key starts with the prefix.
+	 * @param mayBeStale allows a cheaper read that may be seconds old
 	 */
 	range(prefix: string, mayBeStale?: boolean): Promise<StoreRange>;
-	/**
-	 * Resolves once something under the prefix changed after `revision`, or with no events after
-	 * the wait.
-	 */
+	/** Resolves when something under the prefix changes after `revision`, or without events when `waitMs` has passed. */
 	watch(
 		prefix: string,
 		revision: number,
 		waitMs: number,
 		signal: AbortSignal,
 	): Promise<StoreChanges>;
-	/** One item; undefined when the key is absent. */
+	/** Returns undefined when the key is absent. */
 	get(key: string): Promise<StoreItem | undefined>;
-	/** @returns the revision of the writes; undefined when a key has another revision than expected */
+	/** @returns the revision of the writes; undefined when a key does not have the expected revision */
 	transact(transaction: Transaction): Promise<number | undefined>;
-	/** Writes a key, whatever it holds, bound to a lease. */
+	/** Writes a key unconditionally and binds it to a lease; 0 for none. */
 	put(key: string, value: string, leaseId: number): Promise<void>;
-	/** Returns the id of a new lease. */
+	/** @returns the id of the new lease */
 	grantLease(ttlMs: number): Promise<number>;
 	renewLease(id: number): Promise<void>;
 	endLease(id: number): Promise<void>;
-	/** Calls made since the start. */
+	/** Number of calls since the start. */
 	readonly calls: number;
-	/** Counts how often the store came back from an older copy, as its last answer told; 0 before the first. */
+	/** Number of times the store was restored, according to its last answer; 0 before the first answer. */
 	readonly era: number;
-	/** When the store last answered a call and did not refuse it, in milliseconds since boot. */
+	/** When the store last answered a call without refusing it, in milliseconds since boot. */
 	readonly lastAnsweredAt: number;
 }
--- a/src/core/store/prefix-follower.ts
+++ b/src/core/store/prefix-follower.ts
@@ -1,9 +1,6 @@
 /**
- * Follows all keys under a prefix: a range first, then watches from its revision. After a failure,
- * lost history or a restart it reads the range again.
- *
- * Where that is allowed, the very first range may be seconds old, at a tenth of the price: a watch from its revision tells
- * what changed since, and a VM that does not watch hears it from those that do.
+ * Follows all keys under a prefix: reads the range, then watches from its revision. After a failure, compacted history or a
+ * restart it reads the range again. The first range may be stale, since the watch reports what changed since.
  * @module
  */
 import type { Clock, Log, Random } from '../definitions.js';
@@ -11,17 +8,16 @@
 import { StoreError, storeFailures } from './definitions.js';
 import { eraOf, storedRevision } from './revisions.js';
 
-/** One watch waits for so long, in milliseconds; each counts as a call, so longer is cheaper. */
-const watchMs = 20_000;
-/** Shortest back-off after a failed call, in milliseconds. */
+/** Duration of one watch; each counts as a call, so longer watches cost less. */
+const watchTimeoutMs = 20_000;
 const minBackoffMs = 80;
 
-/** Receives what the store holds. */
+/** Receives the content of the store. */
 export interface PrefixListener {
-	/** Everything under the prefix, read at `readAt` (monotonic milliseconds) or later. */
+	/** Applies all items under the prefix, read at `readAt` (monotonic milliseconds) or later. */
 	applySnapshot(items: readonly StoreItem[], readAt: number, revision: number): void;
 	applyChanges(changes: StoreChanges): void;
-	/** The store cannot be read; called once until the next snapshot. */
+	/** Called once when the store becomes unreachable, until the next snapshot. */
 	handleStoreLost(reason: string): void;
 }
 
@@ -32,51 +28,48 @@
 	random: Random;
 	log: Log;
 	listener: PrefixListener;
-	/**
-	 * Settles when the first watch may follow the first read: a VM that turns out not to be one of those that
-	 * read the store then never watches.
-	 */
+	/** Resolves when the first watch may start. A VM that turns out not to be a store reader then never watches. */
 	beforeFirstWatch: () => Promise<void>;
 	/** Whether the first range may be seconds old. */
 	firstMayBeStale: boolean;
-	/** Pause between two watches, in milliseconds: changes of that time come with one call. */
+	/** Pause between watches, in milliseconds; batches the changes of that time into one call. */
 	pauseMs: number;
-	/** Longest back-off now, in milliseconds; a store that is back is noticed within it. */
+	/** Current maximum back-off, in milliseconds; bounds the time to notice that the store is reachable again. */
 	maxBackoffMs: () => number;
 	sleep: (ms: number) => Promise<void>;
 	/**
-	 * Waits after a failed call, for this time or until another try makes sense. Only then: a VM that waits so between two watches
-	 * would count as reading the store meanwhile, and hear of changes from nobody for up to 5 s.
+	 * Waits after a failed call, for this time or until a retry makes sense. Must not be used between watches: the VM would
+	 * still count as a store reader during the wait and miss changes.
 	 */
 	backOff: (ms: number) => Promise<void>;
 }
 
 export class PrefixFollower {
-	private stopped = false;
-	private active = true;
+	private isStopped = false;
+	private isActive = true;
 	private resume?: () => void;
 	private reachable = false;
-	private lossTold = false;
+	private isLossReported = false;
 	private hasWatched = false;
 	private hasRead = false;
 	private cancel = new AbortController();
 
 	constructor(private readonly opts: PrefixFollowerOptions) {}
 
-	/** Whether it follows and the last call to the store succeeded. */
+	/** Whether the follower is active and the last call to the store succeeded. */
 	get isReachable(): boolean {
 		return this.reachable;
 	}
 
 	stop(): void {
-		this.stopped = true;
+		this.isStopped = true;
 		this.cancel.abort();
 		this.resume?.();
 	}
 
-	/** Follows, or pauses; after a pause everything is read again. */
+	/** Resumes or pauses following; after a pause the range is read again. */
 	setActive(active: boolean): void {
-		this.active = active;
+		this.isActive = active;
 		if (active) {
 			this.resume?.();
 		} else {
@@ -86,8 +79,8 @@
 	}
 
 	/**
-	 * Drops the watch that waits, which may hang on a dead connection, and reads all again. A follower that is trying
-	 * already goes on at its own pace.
+	 * Cancels the current watch, which may hang on a dead connection, and reads the range again. Has no effect while the
+	 * follower is already retrying.
 	 */
 	restart(): void {
 		if (this.reachable) {
@@ -95,7 +88,7 @@
 		}
 	}
 
-	/** What was read may be old: it does not count until it is read again. */
+	/** Marks the content as possibly stale until the range is read again. */
 	invalidate(): void {
 		if (this.reachable) {
 			this.reachable = false;
@@ -103,10 +96,10 @@
 		}
 	}
 
-	/** Follows until stopped. */
+	/** Runs until stopped. */
 	async follow(): Promise<void> {
 		let backoffMs = minBackoffMs;
-		while (!this.stopped) {
+		while (!this.isStopped) {
 			await this.untilActive();
 			this.cancel = new AbortController();
 			try {
@@ -119,7 +112,7 @@
 					throw err;
 				}
 				if (err.failure !== storeFailures.compacted && !this.cancel.signal.aborted) {
-					this.failed(err);
+					this.handleError(err);
 					await this.opts.backOff(backoffMs * (0.5 + this.opts.random.next()));
 					backoffMs = Math.min(backoffMs * 2, this.opts.maxBackoffMs());
 				}
@@ -128,7 +121,7 @@
 	}
 
 	private async untilActive(): Promise<void> {
-		while (!this.active && !this.stopped) {
+		while (!this.isActive && !this.isStopped) {
 			await new Promise<void>((done) => {
 				this.resume = done;
 			});
@@ -141,7 +134,7 @@
 			this.hasWatched = true;
 		}
 		if (this.cancel.signal.aborted) {
-			throw new StoreError(storeFailures.unknown, 'paused meanwhile');
+			throw new StoreError(storeFailures.unknown, 'paused during the call');
 		}
 	}
 
@@ -149,11 +142,11 @@
 		const readAt = this.opts.clock.monotonic();
 		const mayBeStale = !this.hasRead && this.opts.firstMayBeStale;
 		const range = await this.opts.store.range(this.opts.prefix, mayBeStale);
-		if (!this.active) {
-			throw new StoreError(storeFailures.unknown, 'paused meanwhile');
+		if (!this.isActive) {
+			throw new StoreError(storeFailures.unknown, 'paused during the call');
 		}
 		this.hasRead = true;
-		this.lossTold = false;
+		this.isLossReported = false;
 		if (!this.reachable) {
 			this.reachable = true;
 			this.opts.log.info('store.reached', {
@@ -166,12 +159,12 @@
 		return range.revision;
 	}
 
-	/** Ends only by an error. */
+	/** Returns only by throwing. */
 	private async watchFrom(first: number): Promise<never> {
 		const { store, prefix, listener } = this.opts;
 		let revision = first;
 		for (;;) {
-			const changes = await store.watch(prefix, revision, watchMs, this.cancel.signal);
+			const changes = await store.watch(prefix, revision, watchTimeoutMs, this.cancel.signal);
 			revision = changes.revision;
 			if (changes.events.length > 0) {
 				listener.applyChanges(changes);
@@ -180,10 +173,10 @@
 		}
 	}
 
-	private failed(err: StoreError): void {
+	private handleError(err: StoreError): void {
 		this.reachable = false;
-		if (!this.lossTold) {
-			this.lossTold = true;
+		if (!this.isLossReported) {
+			this.isLossReported = true;
 			this.opts.log.warn('store.lost', { prefix: this.opts.prefix, error: err.message });
 			this.opts.listener.handleStoreLost(err.message);
 		}
--- a/src/core/store/revisions.ts
+++ b/src/core/store/revisions.ts
@@ -1,26 +1,22 @@
 /**
- * Revisions that rise also over a store that comes back from an older copy. Such a store gives its own revisions out again;
- * each copy it comes back from begins a new era. Era and revision in one number keep the order everywhere: of two states the one
- * with the greater number is the newer.
+ * Revisions that keep increasing when the store is restored from an older copy. Such a store reuses its own revisions, so each
+ * restore starts a new era. A revision combines both in one number, and the greater number is always the newer state.
  * @module
  */
 
-/**
- * Revisions of one era. At 3,200 writes a second they last for 248 days; eras fit up to 131,071 beside them in the whole numbers that
- * are exact.
- */
-const revisionsOfEra = 2 ** 36;
+/** Leaves 17 bits of a safe integer for the era. */
+const revisionsPerEra = 2 ** 36;
 
-/** A revision of the store itself in its era. */
+/** Combines an era and a revision of the store. */
 export function revisionIn(era: number, stored: number): number {
-	return era * revisionsOfEra + stored;
+	return era * revisionsPerEra + stored;
 }
 
 export function eraOf(revision: number): number {
-	return Math.floor(revision / revisionsOfEra);
+	return Math.floor(revision / revisionsPerEra);
 }
 
-/** What the store itself calls the revision. */
+/** Returns the revision as the store numbers it, without the era. */
 export function storedRevision(revision: number): number {
-	return revision % revisionsOfEra;
+	return revision % revisionsPerEra;
 }
--- a/test/steps/duties.steps.ts
+++ b/test/steps/duties.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about duties: who holds them, and what is reported.
+ * Steps about duties: the holder, its reports and the fleet clock.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -20,8 +20,8 @@
 	this.seen.set('duties', new SimulatedDuties(count));
 });
 
-cucumber.Given('{int} of 100 messages are lost', function (this: FleetWorld, lost: number) {
-	dutiesOf(this).lost = lost / 100;
+cucumber.Given('{int}% of messages are lost', function (this: FleetWorld, lost: number) {
+	dutiesOf(this).lossRate = lost / 100;
 });
 
 cucumber.When(/^(\d+) seconds? go by$/, async function (this: FleetWorld, seconds: string) {
@@ -44,8 +44,8 @@
 	assert.equal(others.length, 1);
 });
 
-/** What may befall the VM that holds the duty. */
-const troubles: Record<string, (fleet: SimulatedDuties, vm: DutyVm) => void> = {
+/** Faults of the VM that holds the duty. */
+const holderFaults: Record<string, (fleet: SimulatedDuties, vm: DutyVm) => void> = {
 	'is killed': (_, vm) => {
 		vm.isRunning = false;
 	},
@@ -53,21 +53,22 @@
 	'is frozen': (_, vm) => {
 		vm.isFrozen = true;
 	},
-	'is cut off from the others': (_, vm) => {
-		vm.isCutOff = true;
+	'is isolated from the other VMs': (_, vm) => {
+		vm.isIsolated = true;
 	},
-	'is turned away by the store': (fleet, vm) => fleet.store.disturb(vm.name, { away: 'refused' }),
-	'gets no answer from the store': (fleet, vm) => fleet.store.disturb(vm.name, { away: 'silent' }),
+	'is refused by the store': (fleet, vm) => fleet.store.setFaults(vm.name, { outage: 'refused' }),
+	'gets no answer from the store': (fleet, vm) =>
+		fleet.store.setFaults(vm.name, { outage: 'silent' }),
 	'is suspended': (fleet, vm) => fleet.suspend(vm),
 	'is killed and started again at once': (fleet, vm) => fleet.start(vm),
 };
 
-cucumber.When(/^the holder ((?:is|stops|gets) .*)$/, function (this: FleetWorld, trouble: string) {
+cucumber.When(/^the holder ((?:is|stops|gets) .*)$/, function (this: FleetWorld, fault: string) {
 	const fleet = dutiesOf(this);
 	const { holder } = fleet;
 	assert.ok(holder);
 	this.seen.set('holder', holder);
-	troubles[trouble]?.(fleet, holder);
+	holderFaults[fault]?.(fleet, holder);
 });
 
 cucumber.When('a VM that does not hold the duty is killed', function (this: FleetWorld) {
@@ -77,8 +78,8 @@
 	other.isRunning = false;
 });
 
-cucumber.When('the holder’s cut ends', function (this: FleetWorld) {
-	seen<DutyVm>(this, 'holder').isCutOff = false;
+cucumber.When('the isolation of the holder ends', function (this: FleetWorld) {
+	seen<DutyVm>(this, 'holder').isIsolated = false;
 });
 
 cucumber.When('the frozen VM wakes', function (this: FleetWorld) {
@@ -114,7 +115,7 @@
 	const token = fleet.holder?.holder.token ?? 0;
 	const { token: before = 0 } = seen<{ token?: number }>(this, 'before');
 	assert.ok(token > before);
-	assertOneHolderEach(fleet);
+	assertOneHolderPerToken(fleet);
 });
 
 cucumber.When('its token is remembered', function (this: FleetWorld) {
@@ -122,111 +123,114 @@
 });
 
 cucumber.When(
-	'the store is away for {int} seconds',
+	'the store is unreachable for {int} seconds',
 	async function (this: FleetWorld, seconds: number) {
 		const fleet = dutiesOf(this);
 		for (const { name } of fleet.vms) {
-			fleet.store.disturb(name, { away: 'refused' });
+			fleet.store.setFaults(name, { outage: 'refused' });
 		}
 		await fleet.run(seconds * 1000);
 		for (const { name } of fleet.vms) {
-			fleet.store.disturb(name, {});
+			fleet.store.setFaults(name, {});
 		}
 	},
 );
 
 cucumber.When(
-	'writes to the store are done {int} ms late and not answered, for {int} seconds',
+	'writes to the store are executed {int} ms late without an answer for {int} seconds',
 	async function (this: FleetWorld, ms: number, seconds: number) {
 		const fleet = dutiesOf(this);
 		for (const { name } of fleet.vms) {
-			fleet.store.disturb(name, { lostWritesMs: ms });
+			fleet.store.setFaults(name, { lostWritesMs: ms });
 		}
 		await fleet.run(seconds * 1000);
 		for (const { name } of fleet.vms) {
-			fleet.store.disturb(name, {});
+			fleet.store.setFaults(name, {});
 		}
 	},
 );
 
 cucumber.When(
-	'half of the calls to the platform are carried out {int} ms late, for {int} seconds',
+	'half of the calls to the platform are executed {int} ms late for {int} seconds',
 	async function (this: FleetWorld, ms: number, seconds: number) {
 		const fleet = dutiesOf(this);
-		fleet.api.late = { share: 0.5, ms };
+		fleet.api.delayed = { share: 0.5, ms };
 		await fleet.run(seconds * 1000);
-		fleet.api.late = { share: 0, ms: 0 };
+		fleet.api.delayed = { share: 0, ms: 0 };
 	},
 );
 
-/** Windows that are over for so long, with what was counted and reported. */
-function windowsOver(fleet: SimulatedDuties, seconds: number) {
+/** Windows that ended at least this long ago, with their expected counts and reports. */
+function closedWindows(fleet: SimulatedDuties, seconds: number) {
 	const latest = fleet.wall - seconds * 1000;
-	const windows = [...fleet.truth].filter(([window]) => (window + 1) * windowMs <= latest);
-	return windows.map(([window, truth]) => ({
+	const windows = [...fleet.expectedCounts].filter(([window]) => (window + 1) * windowMs <= latest);
+	return windows.map(([window, expected]) => ({
 		window,
-		truth,
+		expected,
 		reports: fleet.api.reports.get(window) ?? [],
 	}));
 }
 
-function textOf({ counts }: UsageReport): string {
+function serializeCounts({ counts }: UsageReport): string {
 	return JSON.stringify(counts);
 }
 
-export function assertNoneDiffer(fleet: SimulatedDuties): void {
+export function assertConsistentReports(fleet: SimulatedDuties): void {
 	for (const [window, reports] of fleet.api.reports) {
-		assert.equal(new Set(reports.map(textOf)).size, 1, `window ${window}`);
+		assert.equal(new Set(reports.map(serializeCounts)).size, 1, `window ${window}`);
 	}
 }
 
 function assertReported(fleet: SimulatedDuties, seconds: number, percent: number): void {
-	const windows = windowsOver(fleet, seconds);
+	const windows = closedWindows(fleet, seconds);
 	assert.ok(windows.length > 1);
-	for (const { window, truth, reports } of windows) {
+	for (const { window, expected, reports } of windows) {
 		const [report] = reports;
 		assert.ok(report, `window ${window} was not reported`);
 		const reported = new Map(report.counts.map(({ customer, started }) => [customer, started]));
-		for (const [customer, started] of truth) {
+		for (const [customer, started] of expected) {
 			const missing = started - (reported.get(customer) ?? 0);
 			assert.ok(missing >= 0, `window ${window} ${customer}: ${-missing} too many`);
-			const most = Math.ceil((started * percent) / 100);
-			assert.ok(missing <= most, `window ${window} ${customer}: ${missing} of ${started} missing`);
+			const maxMissing = Math.ceil((started * percent) / 100);
+			assert.ok(
+				missing <= maxMissing,
+				`window ${window} ${customer}: ${missing} of ${started} missing`,
+			);
 		}
 	}
 }
 
 cucumber.Then(
-	'every window that is over for {int} seconds was reported once, as it was',
+	'every window that ended at least {int} seconds ago was reported once with the exact counts',
 	function (this: FleetWorld, seconds: number) {
 		const fleet = dutiesOf(this);
 		assertReported(fleet, seconds, 0);
-		assertNoneDiffer(fleet);
-		for (const { window, reports } of windowsOver(fleet, seconds)) {
+		assertConsistentReports(fleet);
+		for (const { window, reports } of closedWindows(fleet, seconds)) {
 			assert.equal(reports.length, 1, `window ${window}`);
 		}
 	},
 );
 
 cucumber.Then(
-	'every window that is over for {int} seconds was reported within {int} of 100',
+	'every window that ended at least {int} seconds ago was reported with at most {int}% missing',
 	function (this: FleetWorld, seconds: number, percent: number) {
 		assertReported(dutiesOf(this), seconds, percent);
-		assertNoneDiffer(dutiesOf(this));
+		assertConsistentReports(dutiesOf(this));
 	},
 );
 
 cucumber.Then('no window was reported with two different counts', function (this: FleetWorld) {
-	assertNoneDiffer(dutiesOf(this));
+	assertConsistentReports(dutiesOf(this));
 });
 
-/** Calls of one VM under a token that it knows to be refused. */
-export function assertNotSentAgain(fleet: SimulatedDuties): void {
+/** Asserts that no VM calls again under a token after it was refused. */
+export function assertRefusedTokensNotReused(fleet: SimulatedDuties): void {
 	const refused = new Map<string, number>();
 	for (const { at, caller, isRefused } of fleet.api.calls) {
 		const name = `${caller.vm} ${caller.token}`;
 		const before = refused.get(name);
-		// One more may be on its way already.
+		// One more call may already be in flight.
 		assert.ok(before === undefined || at - before < 100, `${name} at ${at}, refused at ${before}`);
 		if (isRefused) {
 			refused.set(name, before ?? at);
@@ -234,11 +238,11 @@
 	}
 }
 
-cucumber.Then('no VM sent a token again that was refused', function (this: FleetWorld) {
-	assertNotSentAgain(dutiesOf(this));
+cucumber.Then('no VM reused a refused token', function (this: FleetWorld) {
+	assertRefusedTokensNotReused(dutiesOf(this));
 });
 
-export function assertOneHolderEach(fleet: SimulatedDuties): void {
+export function assertOneHolderPerToken(fleet: SimulatedDuties): void {
 	const holders = new Map<number, string>();
 	for (const { caller } of fleet.api.calls) {
 		assert.equal(holders.get(caller.token) ?? caller.vm, caller.vm, `token ${caller.token}`);
@@ -246,8 +250,8 @@
 	}
 }
 
-/** Where the platform does not look at tokens, the VMs see to it themselves. */
-export function assertInOrder(fleet: SimulatedDuties): void {
+/** Asserts the order of tokens where the platform does not check them. */
+export function assertTokensInOrder(fleet: SimulatedDuties): void {
 	let highest = 0;
 	const acted = new Map<string, number>();
 	let last = '';
@@ -255,15 +259,15 @@
 		assert.ok(caller.token >= highest, `${caller.vm} at ${at}: ${caller.token} after ${highest}`);
 		highest = caller.token;
 		const isBack = last !== caller.vm && at - (acted.get(caller.vm) ?? -leaseMs) < leaseMs;
-		assert.ok(!isBack, `${caller.vm} acts again at ${at}`);
+		assert.ok(!isBack, `${caller.vm} acted again at ${at}`);
 		acted.set(caller.vm, at);
 		last = caller.vm;
 	}
 }
 
-type Trouble = (fleet: SimulatedDuties, vm: DutyVm) => void;
+type Fault = (fleet: SimulatedDuties, vm: DutyVm) => void;
 
-const anyTrouble: Record<string, Trouble> = {
+const faults: Record<string, Fault> = {
 	kill: (_, vm) => {
 		vm.isRunning = false;
 	},
@@ -275,16 +279,16 @@
 		vm.isFrozen = false;
 	},
 	stop: (_, vm) => void vm.holder.release(),
-	cutOff: (_, vm) => {
-		vm.isCutOff = true;
+	isolate: (_, vm) => {
+		vm.isIsolated = true;
 	},
 	heal: (_, vm) => {
-		vm.isCutOff = false;
+		vm.isIsolated = false;
 	},
-	turnAway: (fleet, vm) => fleet.store.disturb(vm.name, { away: 'refused' }),
-	silence: (fleet, vm) => fleet.store.disturb(vm.name, { away: 'silent' }),
-	loseWrites: (fleet, vm) => fleet.store.disturb(vm.name, { lostWritesMs: 2000 }),
-	takeBack: (fleet, vm) => fleet.store.disturb(vm.name, {}),
+	refuse: (fleet, vm) => fleet.store.setFaults(vm.name, { outage: 'refused' }),
+	silence: (fleet, vm) => fleet.store.setFaults(vm.name, { outage: 'silent' }),
+	loseWrites: (fleet, vm) => fleet.store.setFaults(vm.name, { lostWritesMs: 2000 }),
+	answer: (fleet, vm) => fleet.store.setFaults(vm.name, {}),
 	apiDown: (fleet) => {
 		fleet.api.isDown = true;
 	},
@@ -293,54 +297,54 @@
 	},
 };
 
-/** The store comes back from a copy of some seconds ago. */
-const restores: Record<string, Trouble> = {
-	...anyTrouble,
+/** Faults including a store that is restored from an older copy. */
+const restoreFaults: Record<string, Fault> = {
+	...faults,
 	restoreNewer: (fleet) => fleet.store.restore(1500),
 	restoreOlder: (fleet) => fleet.store.restore(6000),
 };
 
-const suspensions: Record<string, Trouble> = {
-	...anyTrouble,
+const suspensionFaults: Record<string, Fault> = {
+	...faults,
 	suspend: (fleet, vm) => fleet.suspend(vm),
 	wake: (fleet, vm) => fleet.wake(vm),
 };
 
-const troubleKinds: Record<string, Record<string, Trouble>> = {
-	troubles: anyTrouble,
-	'troubles and suspensions': suspensions,
-	'troubles and restored stores': restores,
+const faultSets: Record<string, Record<string, Fault>> = {
+	troubles: faults,
+	'troubles and suspensions': suspensionFaults,
+	'troubles and restored stores': restoreFaults,
 };
 
 cucumber.Then(
 	/^after any (\d+) (troubles|troubles and suspensions|troubles and restored stores) of a fleet of (\d+) VMs whose tokens are (checked|unchecked) all promises were kept$/,
-	async (count: string, what: string, size: string, checked: string) => {
+	async (count: string, faultSet: string, size: string, checked: string) => {
 		const length = Number(count);
-		const kinds = troubleKinds[what] ?? anyTrouble;
-		const trouble = fc.record({
+		const kinds = faultSets[faultSet] ?? faults;
+		const fault = fc.record({
 			kind: fc.constantFrom(...Object.keys(kinds)),
-			// Half of the troubles befall whoever holds the duty.
+			// Without a VM, the fault applies to the current holder.
 			vm: fc.option(fc.nat(Number(size) - 1)),
 			pauseMs: fc.integer({ min: 0, max: 50 }).map((steps) => steps * 100),
 		});
-		const sequences = fc.array(trouble, { minLength: length, maxLength: length });
+		const sequences = fc.array(fault, { minLength: length, maxLength: length });
 		const isChecked = checked === 'checked';
 		await fc.assert(
-			fc.asyncProperty(sequences, fc.nat(1000), async (happening, seed) => {
+			fc.asyncProperty(sequences, fc.nat(1000), async (sequence, seed) => {
 				const fleet = new SimulatedDuties(Number(size), seed + 1, isChecked);
 				await fleet.run(5000);
-				for (const { kind, vm, pauseMs } of happening) {
-					const at = vm ?? (fleet.holder ? fleet.vms.indexOf(fleet.holder) : 0);
-					kinds[kind]?.(fleet, fleet.vms[at] as DutyVm);
+				for (const { kind, vm, pauseMs } of sequence) {
+					const index = vm ?? (fleet.holder ? fleet.vms.indexOf(fleet.holder) : 0);
+					kinds[kind]?.(fleet, fleet.vms[index] as DutyVm);
 					await fleet.run(pauseMs);
 				}
 				await fleet.run(6000);
-				assertOneHolderEach(fleet);
-				assertNoneDiffer(fleet);
+				assertOneHolderPerToken(fleet);
+				assertConsistentReports(fleet);
 				if (isChecked) {
-					assertNotSentAgain(fleet);
+					assertRefusedTokensNotReused(fleet);
 				} else {
-					assertInOrder(fleet);
+					assertTokensInOrder(fleet);
 				}
 			}),
 			{ numRuns: 25, seed: 3 },
@@ -349,7 +353,7 @@
 );
 
 cucumber.Given(
-	'a clock of VMs that is {int} ms ahead at the start',
+	'a fleet clock that starts {int} ms ahead',
 	function (this: FleetWorld, aheadMs: number) {
 		const own = { aheadMs, ms: 1_000_000 };
 		const steady = () => own.ms;
@@ -359,16 +363,16 @@
 	},
 );
 
-cucumber.When('others think that it is {int} ms earlier', function (this: FleetWorld, ms: number) {
+cucumber.When('the other VMs are {int} ms behind', function (this: FleetWorld, ms: number) {
 	assert.ok(seen<FleetClock>(this, 'fleet clock').correct(-ms));
 });
 
-cucumber.When("the VM's own clock jumps by {int} ms", function (this: FleetWorld, ms: number) {
+cucumber.When('the wall clock jumps by {int} ms', function (this: FleetWorld, ms: number) {
 	seen<{ aheadMs: number }>(this, 'own clock').aheadMs += ms;
 	seen<FleetClock>(this, 'fleet clock').update();
 });
 
-cucumber.Then('it shows the right time', function (this: FleetWorld) {
+cucumber.Then('the fleet clock shows the correct time', function (this: FleetWorld) {
 	const own = seen<{ ms: number }>(this, 'own clock');
 	assert.equal(seen<FleetClock>(this, 'fleet clock').now(), own.ms);
 });
--- a/test/steps/engine-orders.steps.ts
+++ b/test/steps/engine-orders.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about orders of engines: a supply that boots, drains and takes away engines, and the orders that it gets.
+ * Steps about engine orders, with simulated engines that boot, drain and are lost.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -13,39 +13,39 @@
 import { SimulatedApi, SimulatedTime } from './simulated-platform.js';
 import type { FleetWorld } from './world.js';
 
-const lookMs = 50;
-/** An engine that leaves is gone after this time. */
+const stepMs = 50;
+/** Time until a draining engine is gone. */
 const drainMs = 3000;
 
-interface SuppliedEngine extends EngineEntry {
+interface SimulatedEngine extends EngineEntry {
 	servesAt: number;
 	goneAt: number;
 }
 
-class SimulatedSupply {
+class SimulatedEngines {
 	readonly time = new SimulatedTime();
 	readonly api = new SimulatedApi(this.time, sequence(2));
-	readonly orders: EngineAutoscaler;
-	/** Fewest engines that served at any time. */
-	fewest = Number.POSITIVE_INFINITY;
+	readonly autoscaler: EngineAutoscaler;
+	/** Minimum number of serving engines so far. */
+	minServing = Number.POSITIVE_INFINITY;
 	demand = 0;
-	hearsFleet = true;
-	private engines: SuppliedEngine[] = [];
-	/** Engines that name a limit. */
-	limited = 0;
-	private carriedOut = 0;
+	isFleetKnown = true;
+	private engines: SimulatedEngine[] = [];
+	/** Engines that announce a rate limit. */
+	rateLimited = 0;
+	private executedCalls = 0;
 	private nextId = 1;
 	private raised = 0;
 
 	constructor(
 		each: number,
 		domains: readonly string[],
-		private readonly supply: ScalingLimits,
+		private readonly limits: ScalingLimits,
 		callsPerSecond = 50,
 	) {
 		this.api.callsPerSecond = callsPerSecond;
 		for (const domain of domains) {
-			for (let at = 0; at < each; at++) {
+			for (let count = 0; count < each; count++) {
 				this.boot(domain, false, 0);
 			}
 		}
@@ -60,8 +60,8 @@
 		};
 		const token = () => 1000 + this.raised;
 		Object.defineProperty(holder, 'actingToken', { get: token });
-		this.orders = new EngineAutoscaler({
-			api: this.api.seenBy(),
+		this.autoscaler = new EngineAutoscaler({
+			api: this.api.client(),
 			holder: holder as unknown as DutyHolder,
 			clock: {
 				monotonic: () => this.time.now,
@@ -72,36 +72,35 @@
 			vm: 'vm-1',
 			sizing: 'peak',
 			callsPerSecond: this.api.callsPerSecond,
-			services: () => [{ name: 'pool', healthPath: '/', maxConnections: 1, scaling: supply }],
+			services: () => [{ name: 'pool', healthPath: '/', maxConnections: 1, scaling: limits }],
 			engines: () => this.engines.filter((engine) => this.isRegistered(engine)),
-			rateLimitedEngines: () => this.limited,
+			rateLimitedEngines: () => this.rateLimited,
 			busyEngines: () => this.demand,
-			isUpToDate: () => this.hearsFleet,
+			isUpToDate: () => this.isFleetKnown,
 			onOrdered() {},
 		});
 	}
 
 	async run(ms: number): Promise<void> {
 		for (const until = this.time.now + ms; this.time.now < until; ) {
-			await this.time.run(lookMs);
-			this.carryOutOrders();
-			void this.orders.update();
-			this.fewest = Math.min(this.fewest, this.serving().length);
+			await this.time.run(stepMs);
+			this.executeOrders();
+			void this.autoscaler.update();
+			this.minServing = Math.min(this.minServing, this.serving().length);
 		}
 	}
 
-	/** Times that the holder took a higher token. */
 	get tokensRaised(): number {
 		return this.raised;
 	}
 
-	serving(): SuppliedEngine[] {
+	serving(): SimulatedEngine[] {
 		return this.engines.filter((engine) => this.isRegistered(engine) && !engine.draining);
 	}
 
-	/** All engines of a domain that may be taken away leave with two seconds' notice. */
-	takeAway(domain: string): void {
-		this.api.dry.add(domain);
+	/** Drains all spot engines of a domain with two seconds' notice. */
+	reclaimSpot(domain: string): void {
+		this.api.spotUnavailable.add(domain);
 		for (const engine of this.engines) {
 			if (engine.spot && engine.domain === domain) {
 				engine.draining = true;
@@ -111,34 +110,34 @@
 	}
 
 	crashEvery(nth: number): void {
-		for (const [at, engine] of this.serving().entries()) {
-			if (at % nth === 0) {
+		for (const [index, engine] of this.serving().entries()) {
+			if (index % nth === 0) {
 				engine.goneAt = this.time.now;
 			}
 		}
 	}
 
-	private isRegistered({ servesAt, goneAt }: SuppliedEngine): boolean {
+	private isRegistered({ servesAt, goneAt }: SimulatedEngine): boolean {
 		return servesAt <= this.time.now && this.time.now < goneAt;
 	}
 
-	private carryOutOrders(): void {
-		for (const { what, isRefused } of this.api.calls.slice(this.carriedOut)) {
-			if ('domain' in what && !isRefused) {
-				this.carryOut(what);
+	private executeOrders(): void {
+		for (const { payload, isRefused } of this.api.calls.slice(this.executedCalls)) {
+			if ('domain' in payload && !isRefused) {
+				this.execute(payload);
 			}
 		}
-		this.carriedOut = this.api.calls.length;
+		this.executedCalls = this.api.calls.length;
 	}
 
-	private carryOut({ domain, spot, count }: EngineOrder): void {
+	private execute({ domain, spot, count }: EngineOrder): void {
 		const { now } = this.time;
 		const here = this.engines.filter((one) => one.domain === domain && now < one.goneAt);
 		const ofKind = here.filter((one) => one.spot === spot && !one.draining);
 		const others = here.length - ofKind.length;
-		const wanted = Math.min(count, this.supply.maxEngines - others);
+		const wanted = Math.min(count, this.limits.maxEngines - others);
 		for (let missing = wanted - ofKind.length; missing > 0; missing--) {
-			this.boot(domain, spot, this.supply.bootMs);
+			this.boot(domain, spot, this.limits.bootMs);
 		}
 		for (const extra of ofKind.slice(Math.max(0, wanted))) {
 			extra.draining = true;
@@ -154,132 +153,132 @@
 	}
 }
 
-function supplyOf(world: FleetWorld): SimulatedSupply {
-	return seen<SimulatedSupply>(world, 'supply');
+function enginesOf(world: FleetWorld): SimulatedEngines {
+	return seen<SimulatedEngines>(world, 'engines');
 }
 
 cucumber.Given(
 	'{int} engines in each of {int} failure domains, up to {int} each, that boot in {int} s',
-	function (this: FleetWorld, each: number, domains: number, most: number, bootS: number) {
+	function (this: FleetWorld, each: number, domains: number, max: number, bootS: number) {
 		const names = ['a', 'b', 'c', 'd', 'e', 'f'].slice(0, domains);
-		const supply = {
+		const limits = {
 			minEngines: 1,
-			maxEngines: most,
+			maxEngines: max,
 			bootMs: bootS * 1000,
 			spotPrice: 0.22,
-			domains: names.map((name, at) => ({ name, price: 0.8 + 0.1 * at })),
+			domains: names.map((name, index) => ({ name, price: 0.8 + 0.1 * index })),
 		};
-		this.seen.set('made of', { supply, names });
-		this.seen.set('supply', new SimulatedSupply(each, names, supply));
+		this.seen.set('setup', { limits, names });
+		this.seen.set('engines', new SimulatedEngines(each, names, limits));
 	},
 );
 
 cucumber.Given(
-	'{int} of 100 orders get no answer and are carried out {int} ms late',
+	'{int}% of orders get no answer and are executed {int} ms late',
 	function (this: FleetWorld, share: number, ms: number) {
-		supplyOf(this).api.late = { share: share / 100, ms };
+		enginesOf(this).api.delayed = { share: share / 100, ms };
 	},
 );
 
 cucumber.Given(
-	'the platform takes {int} calls a second',
+	'the platform accepts {int} calls per second',
 	function (this: FleetWorld, calls: number) {
-		const { supply, names } = seen<{ supply: ScalingLimits; names: string[] }>(this, 'made of');
-		this.seen.set('supply', new SimulatedSupply(20, names, supply, calls));
+		const { limits, names } = seen<{ limits: ScalingLimits; names: string[] }>(this, 'setup');
+		this.seen.set('engines', new SimulatedEngines(20, names, limits, calls));
 	},
 );
 
-cucumber.Then('at most {int} calls were turned down', function (this: FleetWorld, most: number) {
-	const { turnedDown } = supplyOf(this).api;
-	assert.ok(turnedDown <= most, `${turnedDown} were`);
+cucumber.Then('at most {int} calls were throttled', function (this: FleetWorld, max: number) {
+	const { throttledCalls } = enginesOf(this).api;
+	assert.ok(throttledCalls <= max, `${throttledCalls} were`);
 });
 
 cucumber.Then('the token was never raised', function (this: FleetWorld) {
-	assert.equal(supplyOf(this).tokensRaised, 0);
+	assert.equal(enginesOf(this).tokensRaised, 0);
 });
 
-cucumber.Given('the holder does not hear the fleet', function (this: FleetWorld) {
-	supplyOf(this).hearsFleet = false;
+cucumber.Given('the holder receives no gossip', function (this: FleetWorld) {
+	enginesOf(this).isFleetKnown = false;
 });
 
-cucumber.When('{int} engines name a limit', function (this: FleetWorld, count: number) {
-	supplyOf(this).limited = count;
+cucumber.When('{int} engines announce a rate limit', function (this: FleetWorld, count: number) {
+	enginesOf(this).rateLimited = count;
 });
 
-cucumber.When('no engine names a limit', function (this: FleetWorld) {
-	supplyOf(this).limited = 0;
+cucumber.When('no engine announces a rate limit', function (this: FleetWorld) {
+	enginesOf(this).rateLimited = 0;
 });
 
 cucumber.When(
 	/^(\d+) seconds? (?:go|goes) by at a demand of (\d+) engines$/,
 	async function (this: FleetWorld, seconds: string, demand: string) {
-		const supply = supplyOf(this);
-		supply.demand = Number(demand);
-		await supply.run(Number(seconds) * 1000);
+		const engines = enginesOf(this);
+		engines.demand = Number(demand);
+		await engines.run(Number(seconds) * 1000);
 	},
 );
 
 cucumber.When(
-	'all that may be taken away leave domain {string}, and there are none to be had there',
+	'domain {string} loses all spot engines and has no new ones',
 	function (this: FleetWorld, domain: string) {
-		supplyOf(this).takeAway(domain);
+		enginesOf(this).reclaimSpot(domain);
 	},
 );
 
 cucumber.When(
-	'all that may be taken away leave every domain, and there are none to be had',
+	'every domain loses all spot engines and has no new ones',
 	function (this: FleetWorld) {
 		for (const domain of ['a', 'b', 'c', 'd']) {
-			supplyOf(this).takeAway(domain);
+			enginesOf(this).reclaimSpot(domain);
 		}
 	},
 );
 
 cucumber.When(
-	/^there are engines to be had again (?:in domain "(\w)"|everywhere)$/,
+	/^spot engines are available again (?:in domain "(\w)"|everywhere)$/,
 	function (this: FleetWorld, domain: string | null) {
-		const { dry } = supplyOf(this).api;
+		const { spotUnavailable } = enginesOf(this).api;
 		if (domain) {
-			dry.delete(domain);
+			spotUnavailable.delete(domain);
 		} else {
-			dry.clear();
+			spotUnavailable.clear();
 		}
 	},
 );
 
-cucumber.When('every fourth engine crashes for good', function (this: FleetWorld) {
-	supplyOf(this).crashEvery(4);
+cucumber.When('every fourth engine crashes', function (this: FleetWorld) {
+	enginesOf(this).crashEvery(4);
 });
 
 cucumber.Then(
 	'at least {int} engines served all the time',
-	function (this: FleetWorld, least: number) {
-		assert.ok(supplyOf(this).fewest >= least, `${supplyOf(this).fewest} at some time`);
+	function (this: FleetWorld, min: number) {
+		assert.ok(enginesOf(this).minServing >= min, `${enginesOf(this).minServing} at some time`);
 	},
 );
 
-cucumber.Then('at least {int} engines serve', function (this: FleetWorld, least: number) {
-	const { length } = supplyOf(this).serving();
-	assert.ok(length >= least, `${length} serve`);
+cucumber.Then('at least {int} engines serve', function (this: FleetWorld, min: number) {
+	const { length } = enginesOf(this).serving();
+	assert.ok(length >= min, `${length} serve`);
 });
 
 cucumber.Then(
 	'{int} to {int} engines serve',
-	function (this: FleetWorld, least: number, most: number) {
-		const { length } = supplyOf(this).serving();
-		assert.ok(length >= least && length <= most, `${length} serve`);
+	function (this: FleetWorld, min: number, max: number) {
+		const { length } = enginesOf(this).serving();
+		assert.ok(length >= min && length <= max, `${length} serve`);
 	},
 );
 
-cucumber.Then('at most {int} of the others serve', function (this: FleetWorld, most: number) {
-	const { length } = supplyOf(this)
+cucumber.Then('at most {int} regular engines serve', function (this: FleetWorld, max: number) {
+	const { length } = enginesOf(this)
 		.serving()
 		.filter(({ spot }) => !spot);
-	assert.ok(length <= most, `${length} serve`);
+	assert.ok(length <= max, `${length} serve`);
 });
 
-cucumber.Then('none of the others is left', function (this: FleetWorld) {
-	const left = supplyOf(this)
+cucumber.Then('no regular engine serves', function (this: FleetWorld) {
+	const left = enginesOf(this)
 		.serving()
 		.filter(({ spot }) => !spot);
 	assert.equal(left.length, 0);
@@ -287,19 +286,19 @@
 
 cucumber.Then('engines of all domains serve', function (this: FleetWorld) {
 	const domains = new Set(
-		supplyOf(this)
+		enginesOf(this)
 			.serving()
 			.map(({ domain }) => domain),
 	);
 	assert.equal(domains.size, 4);
 });
 
-/** The newest order that was taken of each domain and kind. */
-function ordersTaken(supply: SimulatedSupply): EngineOrder[] {
+/** Latest accepted order of each domain and kind. */
+function acceptedOrders(engines: SimulatedEngines): EngineOrder[] {
 	const newest = new Map<string, EngineOrder>();
-	for (const { what, isRefused } of supply.api.calls) {
-		if ('domain' in what && !isRefused) {
-			newest.set(`${what.domain} ${what.spot}`, what);
+	for (const { payload, isRefused } of engines.api.calls) {
+		if ('domain' in payload && !isRefused) {
+			newest.set(`${payload.domain} ${payload.spot}`, payload);
 		}
 	}
 	return [...newest.values()];
@@ -308,21 +307,21 @@
 cucumber.Then(
 	'engines for a demand of {int} are ordered',
 	function (this: FleetWorld, demand: number) {
-		const sum = ordersTaken(supplyOf(this)).reduce((all, { count }) => all + count, 0);
+		const sum = acceptedOrders(enginesOf(this)).reduce((all, { count }) => all + count, 0);
 		assert.ok(sum >= demand * 2, `${sum} are ordered`);
 	},
 );
 
 cucumber.Then('no engine was ordered', function (this: FleetWorld) {
-	assert.equal(supplyOf(this).api.calls.length, 0);
+	assert.equal(enginesOf(this).api.calls.length, 0);
 });
 
 cucumber.Then(
-	'no engine was ordered under a lower token than one before',
+	'no accepted order has a lower token than an earlier one',
 	function (this: FleetWorld) {
 		const highest = new Map<string, number>();
-		for (const { caller, what, isRefused } of supplyOf(this).api.calls) {
-			const subject = 'domain' in what ? what.domain : '';
+		for (const { caller, payload, isRefused } of enginesOf(this).api.calls) {
+			const subject = 'domain' in payload ? payload.domain : '';
 			assert.ok(isRefused || caller.token >= (highest.get(subject) ?? 0));
 			highest.set(subject, Math.max(caller.token, highest.get(subject) ?? 0));
 		}
--- a/test/steps/relay-routing.steps.ts
+++ b/test/steps/relay-routing.steps.ts
@@ -55,11 +55,11 @@
 	const table = seen<RouteTable>(this, 'table');
 	const { routes, customers } = table.configuration;
 	const pairs = routes.flatMap((to) =>
-		customers.map((by) => ({ name: `${to.tier}/${by.tier}`, at: table.urgency(to, by, 10) })),
+		customers.map((by) => ({ name: `${to.tier}/${by.tier}`, urgency: table.urgency(to, by, 10) })),
 	);
-	const ordered = pairs.sort((a, b) => a.at - b.at).map((pair) => pair.name);
+	const ordered = pairs.sort((a, b) => a.urgency - b.urgency).map((pair) => pair.name);
 	assert.equal(ordered.join(', '), expected);
-	assert.equal(new Set(pairs.map((pair) => pair.at)).size, pairs.length);
+	assert.equal(new Set(pairs.map((pair) => pair.urgency)).size, pairs.length);
 });
 
 cucumber.Given(
@@ -71,7 +71,7 @@
 );
 
 cucumber.When('{int} requests come in', function (this: FleetWorld, count: number) {
-	for (let at = 0; at < count; at++) {
+	for (let index = 0; index < count; index++) {
 		seen<RetryBudget>(this, 'budget').requested('pool', clockOf(this).now);
 	}
 });
--- a/test/steps/simulated-duties.ts
+++ b/test/steps/simulated-duties.ts
@@ -1,5 +1,5 @@
 /**
- * VMs that share the duties in one process: simulated time, store, platform's API, and messages that get lost.
+ * VMs that share the duties in one process, with simulated time, store, platform API and lossy messages.
  * @module
  */
 import { DutyHolder } from '../../src/core/duties/duty-holder.js';
@@ -16,11 +16,11 @@
 export const windowMs = 5000;
 export const delayMs = 10_000;
 const keys = { holder: 'holder', reports: 'usage' };
-const lookMs = 50;
-/** News of the holder reach the other VMs within so long. */
-const newsMs = 200;
+const stepMs = 50;
+/** Time until gossip about the holder reaches the other VMs. */
+const gossipDelayMs = 200;
 
-interface Parts {
+interface DutyParts {
 	holder: DutyHolder;
 	counter: UsageCounter;
 	sender: UsageSender;
@@ -28,17 +28,17 @@
 	reporter: UsageReporter;
 }
 
-export interface DutyVm extends Parts {
+export interface DutyVm extends DutyParts {
 	name: string;
-	life: number;
+	incarnation: number;
 	isRunning: boolean;
-	/** It stands still: nothing of it runs. */
+	/** The process does not run. */
 	isFrozen: boolean;
-	/** Since when it is suspended, and for how long it was before: its steady clock stands still meanwhile. */
+	/** Start of the current suspension and total of earlier ones; the monotonic clock stops during them. */
 	suspendedSince?: number;
 	suspendedMs: number;
-	/** It neither hears nor is heard by the others. */
-	isCutOff: boolean;
+	/** No messages from or to other VMs. */
+	isIsolated: boolean;
 }
 
 export class SimulatedDuties {
@@ -46,14 +46,14 @@
 	readonly store = new SimulatedStore(this.time);
 	readonly api: SimulatedApi;
 	readonly vms: DutyVm[] = [];
-	/** Requests that began, by window and customer: what reports should say. */
-	readonly truth = new Map<number, Map<string, number>>();
-	/** Share of messages that are lost. */
-	lost = 0;
-	/** What the holder is known as to the others. */
-	private known?: { vm: DutyVm; token: number; at: number };
+	/** Started requests by window and customer, as the reports should have them. */
+	readonly expectedCounts = new Map<number, Map<string, number>>();
+	/** Share of lost messages. */
+	lossRate = 0;
+	/** Holder known to the other VMs by gossip. */
+	private announced?: { vm: DutyVm; token: number; at: number };
 	private readonly next: () => number;
-	private lives = 0;
+	private incarnations = 0;
 
 	constructor(
 		count: number,
@@ -67,8 +67,13 @@
 			vm?.holder.handleStoreRestored();
 		};
 		this.api = new SimulatedApi(this.time, this.next, checksTokens);
-		for (let at = 0; at < count; at++) {
-			const vm = { name: `vm-${at}`, isFrozen: false, isCutOff: false, suspendedMs: 0 } as DutyVm;
+		for (let index = 0; index < count; index++) {
+			const vm = {
+				name: `vm-${index}`,
+				isFrozen: false,
+				isIsolated: false,
+				suspendedMs: 0,
+			} as DutyVm;
 			this.vms.push(vm);
 			this.start(vm);
 		}
@@ -97,18 +102,18 @@
 	}
 
 	start(vm: DutyVm): void {
-		vm.life = ++this.lives;
+		vm.incarnation = ++this.incarnations;
 		vm.isRunning = true;
-		this.store.started(vm.name);
-		Object.assign(vm, this.partsOf(vm));
+		this.store.registerVm(vm.name);
+		Object.assign(vm, this.createParts(vm));
 	}
 
-	/** A request of a customer begins at the VM now. */
-	begin(vm: DutyVm, customer: string): void {
+	/** Starts a request of a customer on the VM. */
+	startRequest(vm: DutyVm, customer: string): void {
 		vm.counter.recordStart(customer);
 		const window = Math.floor(this.wall / windowMs);
-		const counts = this.truth.get(window) ?? new Map<string, number>();
-		this.truth.set(window, counts);
+		const counts = this.expectedCounts.get(window) ?? new Map<string, number>();
+		this.expectedCounts.set(window, counts);
 		counts.set(customer, (counts.get(customer) ?? 0) + 1);
 	}
 
@@ -117,41 +122,41 @@
 		return 1_700_000_000_000 + this.time.now;
 	}
 
-	/** @param traffic whether each VM begins a request now and then */
+	/** @param traffic whether the VMs start random requests */
 	async run(ms: number, traffic = true): Promise<void> {
 		for (const until = this.time.now + ms; this.time.now < until; ) {
-			await this.time.run(lookMs);
-			this.tellHolder();
+			await this.time.run(stepMs);
+			this.announceHolder();
 			for (const vm of this.running) {
 				if (traffic && this.next() < 0.3) {
-					this.begin(vm, `customer-${Math.floor(this.next() * 3)}`);
+					this.startRequest(vm, `customer-${Math.floor(this.next() * 3)}`);
 				}
 				void vm.holder.update();
-				vm.sender.update(this.holderSeenBy(vm)?.name);
+				vm.sender.update(this.holderKnownTo(vm)?.name);
 				void vm.reporter.update();
 			}
 		}
 	}
 
-	private partsOf(vm: DutyVm): Parts {
+	private createParts(vm: DutyVm): DutyParts {
 		const { time, store, api } = this;
 		const steady = () => (vm.suspendedSince ?? time.now) - vm.suspendedMs;
 		const clock = { monotonic: steady, sinceBoot: () => time.now, wall: () => this.wall };
 		const fleetClock = new FleetClock(clock);
-		const { life, name } = vm;
-		const ownStore = store.seenBy(name);
+		const { incarnation, name } = vm;
+		const ownStore = store.clientFor(name);
 		const holder = new DutyHolder({
 			store: ownStore,
 			clock,
-			random: { next: this.next, hex: () => `${name} ${life} ${this.next()}` },
+			random: { next: this.next, hex: () => `${name} ${incarnation} ${this.next()}` },
 			log: silentLog,
 			vm: name,
 			key: keys.holder,
 			leaseMs,
 			checksTokens: this.checksTokens,
 			rank: () => this.vms.indexOf(vm),
-			isIsolated: () => vm.isCutOff,
-			otherHolderToken: () => this.tokenHeardBy(vm),
+			isIsolated: () => vm.isIsolated,
+			otherHolderToken: () => this.tokenKnownTo(vm),
 			onChanged: () => {},
 		});
 		const now = steady;
@@ -161,7 +166,7 @@
 		const send = (to: string, usage: UsageCounts) => this.send(vm, to, usage);
 		const sender = new UsageSender({
 			vm: name,
-			incarnation: life,
+			incarnation,
 			address: name,
 			counter,
 			now,
@@ -170,7 +175,7 @@
 		});
 		const reporter = new UsageReporter({
 			store: ownStore,
-			api: api.seenBy(),
+			api: api.client(),
 			holder,
 			collector,
 			clock,
@@ -187,43 +192,43 @@
 		return { holder, counter, sender, collector, reporter };
 	}
 
-	/** News tell who holds the duty, as long as that VM is heard. */
-	private tellHolder(): void {
+	/** Announces the holder to the other VMs while it can send gossip. */
+	private announceHolder(): void {
 		const { holder } = this;
 		const token = holder?.holder.token;
-		if (holder && token !== undefined && holder.holder.isLeaseValid && !holder.isCutOff) {
-			const isNew = this.known?.token !== token;
-			this.known = { vm: holder, token, at: isNew ? this.time.now + newsMs : 0 };
+		if (holder && token !== undefined && holder.holder.isLeaseValid && !holder.isIsolated) {
+			const isNew = this.announced?.token !== token;
+			this.announced = { vm: holder, token, at: isNew ? this.time.now + gossipDelayMs : 0 };
 		} else {
-			this.known = undefined;
+			this.announced = undefined;
 		}
 	}
 
-	private holderSeenBy(vm: DutyVm): DutyVm | undefined {
+	private holderKnownTo(vm: DutyVm): DutyVm | undefined {
 		if (vm.holder.token !== undefined) {
 			return vm;
 		}
-		const isHeard = this.known && this.time.now >= this.known.at && !vm.isCutOff;
-		return isHeard ? this.known?.vm : undefined;
+		const isKnown = this.announced && this.time.now >= this.announced.at && !vm.isIsolated;
+		return isKnown ? this.announced?.vm : undefined;
 	}
 
-	private tokenHeardBy(vm: DutyVm): number | undefined {
-		const isHeard = this.known && this.time.now >= this.known.at && !vm.isCutOff;
-		return isHeard && this.known?.vm !== vm ? this.known?.token : undefined;
+	private tokenKnownTo(vm: DutyVm): number | undefined {
+		const isKnown = this.announced && this.time.now >= this.announced.at && !vm.isIsolated;
+		return isKnown && this.announced?.vm !== vm ? this.announced?.token : undefined;
 	}
 
 	private send(from: DutyVm, to: string, usage: UsageCounts): void {
 		const target = this.vms.find(({ name }) => name === to);
-		const isReached = from === target || !(from.isCutOff || target?.isCutOff);
-		if (!target?.isRunning || target.isFrozen || !isReached || this.next() < this.lost) {
+		const isReachable = from === target || !(from.isIsolated || target?.isIsolated);
+		if (!target?.isRunning || target.isFrozen || !isReachable || this.next() < this.lossRate) {
 			return;
 		}
 		if (target.holder.token === undefined) {
 			return;
 		}
-		const taken = target.collector.merge(usage);
-		if (usage.isFinal && this.next() >= this.lost) {
-			from.sender.handleAck(taken);
+		const ack = target.collector.merge(usage);
+		if (usage.isFinal && this.next() >= this.lossRate) {
+			from.sender.handleAck(ack);
 		}
 	}
 }
--- a/test/steps/simulated-platform.ts
+++ b/test/steps/simulated-platform.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's store and its API for duties, in one process and simulated time, with the faults that they may have.
+ * Simulated store and duty API of the platform, in simulated time and with configurable faults.
  * @module
  */
 import type {
@@ -19,7 +19,7 @@
 import { StoreError, storeFailures } from '../../src/core/store/definitions.js';
 import { revisionIn, storedRevision } from '../../src/core/store/revisions.js';
 
-/** Simulated time in which promises settle between two steps. */
+/** Simulated time that lets promises settle between steps. */
 export class SimulatedTime {
 	now = 0;
 	private waiting: { at: number; resolve: () => void }[] = [];
@@ -36,26 +36,25 @@
 			for (const { resolve } of due.sort((a, b) => a.at - b.at)) {
 				resolve();
 			}
-			await settled();
+			await flushPromises();
 		}
 	}
 }
 
-/** Lets all promises that can settle do so. */
-function settled(): Promise<void> {
+function flushPromises(): Promise<void> {
 	return new Promise((done) => setImmediate(done));
 }
 
-/** What the store does to the calls of one VM. */
+/** Faults of the store for the calls of one VM. */
 export interface StoreFaults {
-	/** Every call is refused, or gets no answer. */
-	away?: 'refused' | 'silent';
-	/** Writes are done, at once or so much later in milliseconds, and not answered. */
+	/** All calls are refused or get no answer. */
+	outage?: 'refused' | 'silent';
+	/** Writes are executed after this delay, in milliseconds, and not answered. */
 	lostWritesMs?: number;
 }
 
-const answerMs = 4;
-const silentMs = 1000;
+const latencyMs = 4;
+const timeoutMs = 1000;
 
 interface SimulatedLease {
 	ttlMs: number;
@@ -76,20 +75,20 @@
 	private revision = revisionIn(1, 100);
 	private nextLease = 1;
 	private era = 1;
-	/** What it held after each change, the newest last. */
+	/** State after each change, newest last. */
 	private readonly history: StoredState[] = [];
-	private readonly eraSeen = new Map<string, number>();
-	/** A VM gets its first answer of a new era. */
+	private readonly knownEras = new Map<string, number>();
+	/** Called when a VM gets its first answer of a new era. */
 	onRestored: (vm: string) => void = () => {};
 
 	constructor(private readonly time: SimulatedTime) {}
 
-	/** The VM starts: its registration tells it the era. */
-	started(vm: string): void {
-		this.eraSeen.set(vm, this.era);
+	/** Tells a starting VM the current era. */
+	registerVm(vm: string): void {
+		this.knownEras.set(vm, this.era);
 	}
 
-	/** Comes back from a copy of some time ago; revisions are given out again. */
+	/** Restores the state of some time ago; revisions are reused in a new era. */
 	restore(agoMs: number): void {
 		const at = this.time.now - agoMs;
 		const state = this.history.findLast((one) => one.at <= at);
@@ -107,13 +106,13 @@
 		this.revision = revisionIn(this.era, storedRevision(state?.revision ?? 100));
 	}
 
-	/** The store as one VM reaches it. */
-	seenBy(vm: string): Store {
+	/** Returns a client with the faults of one VM. */
+	clientFor(vm: string): Store {
 		const call = <T>(action: () => T) => this.call(vm, action);
 		return {
 			calls: 0,
 			lastAnsweredAt: 0,
-			era: this.eraSeen.get(vm) ?? this.era,
+			era: this.knownEras.get(vm) ?? this.era,
 			get: (key) => call(() => this.find(key)),
 			transact: (transaction) => this.write(vm, transaction),
 			grantLease: (ttlMs) => call(() => this.grant(ttlMs)),
@@ -125,32 +124,32 @@
 		};
 	}
 
-	disturb(vm: string, faults: StoreFaults): void {
+	setFaults(vm: string, faults: StoreFaults): void {
 		this.faults.set(vm, faults);
 	}
 
 	private async call<T>(vm: string, action: () => T): Promise<T> {
-		const { away } = this.faults.get(vm) ?? {};
-		if (away) {
-			await this.time.sleep(away === 'silent' ? silentMs : answerMs);
-			const failure = away === 'silent' ? storeFailures.unknown : storeFailures.refused;
-			throw new StoreError(failure, 'the store is away');
+		const { outage } = this.faults.get(vm) ?? {};
+		if (outage) {
+			await this.time.sleep(outage === 'silent' ? timeoutMs : latencyMs);
+			const failure = outage === 'silent' ? storeFailures.unknown : storeFailures.refused;
+			throw new StoreError(failure, 'the store is unreachable');
 		}
-		await this.time.sleep(answerMs / 2);
-		// Its answer tells the era whatever the store says.
+		await this.time.sleep(latencyMs / 2);
+		// Every answer carries the era, also a refusal.
 		const { era } = this;
 		try {
 			const result = action();
-			await this.time.sleep(answerMs / 2);
+			await this.time.sleep(latencyMs / 2);
 			return result;
 		} finally {
-			this.answered(vm, era);
+			this.recordAnswer(vm, era);
 		}
 	}
 
-	private answered(vm: string, era: number): void {
-		const before = this.eraSeen.get(vm) ?? era;
-		this.eraSeen.set(vm, Math.max(before, era));
+	private recordAnswer(vm: string, era: number): void {
+		const before = this.knownEras.get(vm) ?? era;
+		this.knownEras.set(vm, Math.max(before, era));
 		if (era > before) {
 			this.onRestored(vm);
 		}
@@ -165,10 +164,10 @@
 			try {
 				this.transact(transaction);
 			} catch {
-				// Its lease has ended meanwhile: nothing is done.
+				// The lease ended in the meantime, so nothing is written.
 			}
 		});
-		await this.time.sleep(silentMs);
+		await this.time.sleep(timeoutMs);
 		throw new StoreError(storeFailures.unknown, 'no answer');
 	}
 
@@ -215,26 +214,25 @@
 	}
 }
 
-/** A call as the platform carried it out. */
-export interface CarriedOut {
+/** A call executed by the platform. */
+export interface ExecutedCall {
 	at: number;
 	caller: DutyCaller;
-	what: UsageReport | EngineOrder;
+	payload: UsageReport | EngineOrder;
 	isRefused: boolean;
 }
 
 export class SimulatedApi {
-	readonly calls: CarriedOut[] = [];
+	readonly calls: ExecutedCall[] = [];
 	readonly reports = new Map<number, UsageReport[]>();
-	/** Domains without engines that may be taken away. */
-	readonly dry = new Set<string>();
-	/** Share of calls that get no answer and are carried out so much later, in milliseconds. */
-	late = { share: 0, ms: 0 };
+	/** Domains without spot engines. */
+	readonly spotUnavailable = new Set<string>();
+	/** Share of calls that get no answer, and the delay of their execution in milliseconds. */
+	delayed = { share: 0, ms: 0 };
 	isDown = false;
-	/** Calls that are taken in a second; more are turned down. */
+	/** Calls accepted per second; further ones are throttled. */
 	callsPerSecond = 50;
-	/** Calls that were turned down. */
-	turnedDown = 0;
+	throttledCalls = 0;
 	private calledAt: number[] = [];
 	private readonly highest = new Map<string, number>();
 
@@ -244,7 +242,7 @@
 		private readonly checksTokens = true,
 	) {}
 
-	seenBy(): DutyApi {
+	client(): DutyApi {
 		return {
 			reportUsage: (caller, report) => this.call(caller, 'usage', report),
 			orderEngines: (caller, order) => this.call(caller, `${order.service} ${order.domain}`, order),
@@ -255,46 +253,50 @@
 	private async call(
 		caller: DutyCaller,
 		subject: string,
-		what: UsageReport | EngineOrder,
+		payload: UsageReport | EngineOrder,
 	): Promise<DutyAnswer> {
 		if (this.isDown) {
-			await this.time.sleep(silentMs);
+			await this.time.sleep(timeoutMs);
 			return dutyAnswers.unknown;
 		}
 		this.calledAt = this.calledAt.filter((at) => this.time.now - at < 1000);
 		if (this.calledAt.length >= this.callsPerSecond) {
-			this.turnedDown++;
-			await this.time.sleep(answerMs);
+			this.throttledCalls++;
+			await this.time.sleep(latencyMs);
 			return dutyAnswers.busy;
 		}
 		this.calledAt.push(this.time.now);
-		if (this.next() < this.late.share) {
-			void this.time.sleep(this.late.ms).then(() => this.carryOut(caller, subject, what));
-			await this.time.sleep(silentMs);
+		if (this.next() < this.delayed.share) {
+			void this.time.sleep(this.delayed.ms).then(() => this.execute(caller, subject, payload));
+			await this.time.sleep(timeoutMs);
 			return dutyAnswers.unknown;
 		}
-		await this.time.sleep(answerMs);
-		return this.carryOut(caller, subject, what);
+		await this.time.sleep(latencyMs);
+		return this.execute(caller, subject, payload);
 	}
 
-	private carryOut(
+	private execute(
 		caller: DutyCaller,
 		subject: string,
-		what: UsageReport | EngineOrder,
+		payload: UsageReport | EngineOrder,
 	): DutyAnswer {
 		const highest = this.highest.get(subject) ?? 0;
-		const isOvertaken = this.checksTokens && caller.token < highest;
-		const isDry = 'domain' in what && what.spot && what.count > 0 && this.dry.has(what.domain);
-		const isRefused = isOvertaken || isDry;
-		this.calls.push({ at: this.time.now, caller, what, isRefused });
-		if (!isOvertaken) {
+		const isSuperseded = this.checksTokens && caller.token < highest;
+		const isUnavailable =
+			'domain' in payload &&
+			payload.spot &&
+			payload.count > 0 &&
+			this.spotUnavailable.has(payload.domain);
+		const isRefused = isSuperseded || isUnavailable;
+		this.calls.push({ at: this.time.now, caller, payload, isRefused });
+		if (!isSuperseded) {
 			this.highest.set(subject, Math.max(highest, caller.token));
 		}
 		if (isRefused) {
 			return dutyAnswers.refused;
 		}
-		if ('window' in what) {
-			this.reports.set(what.window, [...(this.reports.get(what.window) ?? []), what]);
+		if ('window' in payload) {
+			this.reports.set(payload.window, [...(this.reports.get(payload.window) ?? []), payload]);
 		}
 		return dutyAnswers.done;
 	}
--- a/test/steps/store-restored.steps.ts
+++ b/test/steps/store-restored.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about a store that comes back from an older copy.
+ * Steps about a store that is restored from an older copy.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -7,14 +7,19 @@
 import { StoreError, storeFailures } from '../../src/core/store/definitions.js';
 import { PlatformStore } from '../../src/platform/store-client.js';
 import type { StoreCopy } from '../stand-ins/platform-store.js';
-import { assertInOrder, assertNoneDiffer, assertOneHolderEach, dutiesOf } from './duties.steps.js';
+import {
+	assertConsistentReports,
+	assertOneHolderPerToken,
+	assertTokensInOrder,
+	dutiesOf,
+} from './duties.steps.js';
 import { StepClock, seen } from './relay-fakes.js';
 import { engineOf, fixtureOf } from './relay-fixture.js';
 import { until } from './relay-world.js';
 import type { FleetWorld } from './world.js';
 
 const vmPrefix = 'vms/';
-const crashPrefix = 'quarantine/';
+const quarantinePrefix = 'quarantine/';
 const key = 'notes/one';
 
 cucumber.Given('a copy of the store is taken', function (this: FleetWorld) {
@@ -41,9 +46,9 @@
 	return { ...copy, items: new Map(items) };
 }
 
-cucumber.When('the store comes back from the copy', async function (this: FleetWorld) {
+cucumber.When('the store is restored from the copy', async function (this: FleetWorld) {
 	fixtureOf(this).store.restore(seen<StoreCopy>(this, 'copy'));
-	// Closed connections are noticed.
+	// Lets the VMs detect the closed connections.
 	await new Promise((done) => setTimeout(done, 100));
 });
 
@@ -52,7 +57,7 @@
 	async function (this: FleetWorld, id: string, count: number) {
 		const fixture = fixtureOf(this);
 		const engine = engineOf(this, id);
-		for (let at = 0; at < count; at++) {
+		for (let index = 0; index < count; index++) {
 			await fixture.register(engine, fixture.addressOf(engine));
 		}
 	},
@@ -74,13 +79,13 @@
 );
 
 cucumber.Then(
-	'the store hears again what crashes engines within {int} ms',
+	'quarantined contents are in the store again within {int} ms',
 	async function (this: FleetWorld, ms: number) {
-		await until(() => fixtureOf(this).store.keys(crashPrefix).length > 0, ms);
+		await until(() => fixtureOf(this).store.keys(quarantinePrefix).length > 0, ms);
 	},
 );
 
-cucumber.Given('a store of its own', async function (this: FleetWorld) {
+cucumber.Given('a separate store', async function (this: FleetWorld) {
 	const { store } = fixtureOf(this);
 	await store.start();
 	const [host = '', port = ''] = (await store.addressFor('127.0.0.1')).split(':');
@@ -95,39 +100,36 @@
 	'a key is written {int} times and its revision is read',
 	async function (this: FleetWorld, times: number) {
 		const client = seen<PlatformStore>(this, 'client');
-		for (let at = 0; at < times; at++) {
-			await client.put(key, String(at), 0);
+		for (let index = 0; index < times; index++) {
+			await client.put(key, String(index), 0);
 		}
 		this.seen.set('revision', await revisionOf(client));
 	},
 );
 
 cucumber.When('the key is written {int} times', function (this: FleetWorld, times: number) {
-	for (let at = 0; at < times; at++) {
-		fixtureOf(this).store.put(key, `after ${at}`);
+	for (let index = 0; index < times; index++) {
+		fixtureOf(this).store.put(key, `after ${index}`);
 	}
 });
 
-cucumber.Then(
-	'a watch from that revision is told to read again',
-	async function (this: FleetWorld) {
-		const client = seen<PlatformStore>(this, 'client');
-		const watch = client.watch('notes/', seen(this, 'revision'), 500, new AbortController().signal);
-		await assert.rejects(watch, (err) => {
-			return err instanceof StoreError && err.failure === storeFailures.compacted;
-		});
-	},
-);
+cucumber.Then('a watch from that revision fails as compacted', async function (this: FleetWorld) {
+	const client = seen<PlatformStore>(this, 'client');
+	const watch = client.watch('notes/', seen(this, 'revision'), 500, new AbortController().signal);
+	await assert.rejects(watch, (err) => {
+		return err instanceof StoreError && err.failure === storeFailures.compacted;
+	});
+});
 
 cucumber.Then(
-	'a write on condition of that revision is not done',
+	'a write conditional on that revision is not executed',
 	async function (this: FleetWorld) {
 		const client = seen<PlatformStore>(this, 'client');
-		const done = await client.transact({
+		const revision = await client.transact({
 			expected: [{ key, revision: seen(this, 'revision') }],
 			write: [{ key, value: 'overwritten', lease: 0 }],
 		});
-		assert.equal(done, undefined);
+		assert.equal(revision, undefined);
 		assert.notEqual((await client.get(key))?.value, 'overwritten');
 	},
 );
@@ -139,22 +141,22 @@
 });
 
 cucumber.When(
-	'the store comes back from a copy of {int} seconds ago, {int} times, {int} seconds apart',
-	async function (this: FleetWorld, ago: number, times: number, apart: number) {
+	'the store is restored from a copy {int} seconds old, {int} times, {int} seconds apart',
+	async function (this: FleetWorld, ageS: number, times: number, intervalS: number) {
 		const fleet = dutiesOf(this);
-		for (let at = 0; at < times; at++) {
-			fleet.store.restore(ago * 1000);
-			await fleet.run(apart * 1000);
+		for (let index = 0; index < times; index++) {
+			fleet.store.restore(ageS * 1000);
+			await fleet.run(intervalS * 1000);
 		}
 	},
 );
 
 cucumber.Then(
-	'no two VMs acted under one token, and none after a later one',
+	'no two VMs acted under the same token, and no VM acted after its successor',
 	function (this: FleetWorld) {
 		const fleet = dutiesOf(this);
-		assertOneHolderEach(fleet);
-		assertNoneDiffer(fleet);
-		assertInOrder(fleet);
+		assertOneHolderPerToken(fleet);
+		assertConsistentReports(fleet);
+		assertTokensInOrder(fleet);
 	},
 );
