--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import * as fs from 'node:fs/promises';
-import { allowedOf, LimitedLoad } from '../test/steps/limited-load.js';
+import { LimitedLoad, maxAllowedArrivals } from '../test/steps/limited-load.js';
 import type { SimulatedVm } from '../test/steps/simulated-fleet.js';
 
 const limits = [0.5, 1, 3, 20, 200];
@@ -69,7 +69,7 @@
 		vms,
 		domains: Math.min(domains, vms),
 		engines,
-		perS: limit,
+		limitPerS: limit,
 		requestsPerS: (vm, at) => {
 			return overload * engines * limit * (demands[demand] as Demand)(load, vm, at);
 		},
@@ -85,11 +85,13 @@
 		engines,
 		limit,
 		demand,
-		most: Math.max(...load.engines.map((engine) => load.most(engine, from - warmUpMs / 2))),
-		allowed: allowedOf(limit),
-		used: Number(load.used(from).toFixed(2)),
-		longestS: Number((load.longestWithoutTurn / 1000).toFixed(1)),
-		bytes: Math.round(load.bytesPerVmS),
+		most: Math.max(
+			...load.engines.map((engine) => load.countMaxArrivals(engine, from - warmUpMs / 2)),
+		),
+		allowed: maxAllowedArrivals(limit),
+		used: Number(load.getUtilization(from).toFixed(2)),
+		longestS: Number((load.maxWithoutPermitMs / 1000).toFixed(1)),
+		bytes: Math.round(load.bytesPerSecondPerVm),
 		knownMs,
 	};
 }
--- a/src/core/fleet/fleet-view.ts
+++ b/src/core/fleet/fleet-view.ts
@@ -9,8 +9,8 @@
 import type { Clock, Log } from '../definitions.js';
 import type { CostModel } from '../engines/cost-model.js';
 import type { AnswerNews } from '../engines/fleet-health.js';
-import type { LimitNews } from '../limits/fleet-limits.js';
-import type { CrashNews } from '../quarantine/types.js';
+import type { LimitGossip } from '../limits/fleet-limits.js';
+import type { CrashGossip } from '../quarantine/types.js';
 import type { PromptPart } from '../relay/definitions.js';
 import { DemandMeter } from './demand-meter.js';
 import { FleetWork } from './fleet-work.js';
@@ -57,9 +57,9 @@
 	/** A peer that reads the store tells of it. */
 	onStoreNews: (address: string, store: StoreNews) => void;
 	/** What this VM knows of engines that ended. */
-	crashes: CrashNews;
+	crashes: CrashGossip;
 	/** What this VM knows of the requests a second that engines take. */
-	limits: LimitNews;
+	limits: LimitGossip;
 }
 
 export class FleetView {
@@ -293,8 +293,8 @@
 	 */
 	private takeVersions(news: PeerNews): boolean {
 		let isNew = news.configurationVersion > this.configurationVersion;
-		isNew = this.opts.crashes.take(news.crashes) || isNew;
-		isNew = this.opts.limits.take(news.limits, news.issuer) || isNew;
+		isNew = this.opts.crashes.merge(news.crashes) || isNew;
+		isNew = this.opts.limits.merge(news.limits, news.issuer) || isNew;
 		for (const reader of news.readers) {
 			if (reader.address !== this.opts.address) {
 				const isMember = news.kind === newsKinds.report;
@@ -359,9 +359,9 @@
 		const { configurationVersion, spacingMs } = this;
 		const { crashes, limits } = this.opts;
 		const shared = {
-			crashes: crashes.rowsToTell(),
-			limits: limits.wordsToTell(content.kind),
-			issuer: limits.issuerToTell(),
+			crashes: crashes.getReportsToSend(),
+			limits: limits.getUpdatesToSend(content.kind),
+			issuer: limits.getIssuerToSend(),
 		};
 		return this.composer.compose({ ...content, ...shared }, { configurationVersion, spacingMs });
 	}
--- a/src/core/fleet/news-composer.ts
+++ b/src/core/fleet/news-composer.ts
@@ -6,8 +6,8 @@
 import type { CostModel } from '../engines/cost-model.js';
 import type { SpeedSums } from '../engines/engine-speeds.js';
 import type { AnswerNews } from '../engines/fleet-health.js';
-import type { IssuerWord, LimitWord } from '../limits/types.js';
-import type { CrashRow } from '../quarantine/types.js';
+import type { IssuerAnnouncement, LimitUpdate } from '../limits/types.js';
+import type { CrashReport } from '../quarantine/types.js';
 import { cutNews } from './news-parts.js';
 import type {
 	Demand,
@@ -40,9 +40,9 @@
 	readers: StoreReader[];
 	/** VMs whose costs, and answers of failing engines, are added to those that this VM has seen. */
 	sumsOf: readonly string[];
-	crashes: CrashRow[];
-	limits: LimitWord[];
-	issuer?: IssuerWord;
+	crashes: CrashReport[];
+	limits: LimitUpdate[];
+	issuer?: IssuerAnnouncement;
 }
 
 /** What is the same in all news of a moment. */
--- a/src/core/fleet/types.ts
+++ b/src/core/fleet/types.ts
@@ -6,8 +6,8 @@
 import type { CostSums } from '../engines/cost-model.js';
 import type { SpeedSums } from '../engines/engine-speeds.js';
 import type { EngineAnswers } from '../engines/recent-answers.js';
-import type { IssuerWord, LimitWord } from '../limits/types.js';
-import type { CrashRow } from '../quarantine/types.js';
+import type { IssuerAnnouncement, LimitUpdate } from '../limits/types.js';
+import type { CrashReport } from '../quarantine/types.js';
 
 /** 32 bits that stand for an engine's id in messages. */
 export type EngineRef = number;
@@ -115,9 +115,9 @@
 	/** Reports that the sums contain. */
 	heard: HeardReport[];
 	/** Engines that ended, and contents that were there then. */
-	crashes: CrashRow[];
+	crashes: CrashReport[];
 	/** Requests a second that engines take from all VMs together. */
-	limits: LimitWord[];
+	limits: LimitUpdate[];
 	/** The VM that issues permits for them; undefined while no limit is in force. */
-	issuer?: IssuerWord;
+	issuer?: IssuerAnnouncement;
 }
--- a/src/core/limits/fleet-limits.ts
+++ b/src/core/limits/fleet-limits.ts
@@ -4,20 +4,20 @@
  */
 import type { Clock, Log, Random } from '../definitions.js';
 import type { EngineRef, NewsKind } from '../fleet/types.js';
-import { assumedVms, EnginePermits } from './engine-permits.js';
 import { IssuerElection } from './issuer-election.js';
 import { LimitLedger } from './limit-ledger.js';
+import { assumedVmCount, PermitClient } from './permit-client.js';
 import { PermitIssuer } from './permit-issuer.js';
-import { ReturnSchedule } from './return-schedule.js';
-import type { IssuerWord, LimitWord, PermitAnswer, PermitAsk } from './types.js';
+import { RetrySchedule } from './retry-schedule.js';
+import type { IssuerAnnouncement, LimitUpdate, PermitRequest, PermitResponse } from './types.js';
 
 /** What news between VMs carry of limits. */
-export interface LimitNews {
+export interface LimitGossip {
 	/** @param kind of the news that they go with */
-	wordsToTell(kind: NewsKind): LimitWord[];
-	issuerToTell(): IssuerWord | undefined;
+	getUpdatesToSend(kind: NewsKind): LimitUpdate[];
+	getIssuerToSend(): IssuerAnnouncement | undefined;
 	/** @returns whether others should hear of it too */
-	take(words: readonly LimitWord[], issuer: IssuerWord | undefined): boolean;
+	merge(words: readonly LimitUpdate[], issuer: IssuerAnnouncement | undefined): boolean;
 }
 
 export interface FleetLimitsOptions {
@@ -25,72 +25,83 @@
 	log: Log;
 	random: Random;
 	/** Where this VM hears datagrams, as IP:PORT. */
-	self: string;
+	ownAddress: string;
 	/** Id of an engine, for the log; undefined while it is not registered. */
 	engineId: (engine: EngineRef) => string | undefined;
 	/** Place of this VM in an order that all VMs share, 0 for the first, with an address left out. */
-	rank: (without?: string) => number;
+	getRank: (without?: string) => number;
 	/** VMs that this one hears of now, itself included. */
 	heardVms: () => number;
 	/** VMs of the fleet, silent ones included; undefined while not known. */
 	vms: () => number | undefined;
-	sendAsk: (to: string, ask: PermitAsk) => void;
-	sendAnswer: (to: string, answer: PermitAnswer) => void;
+	sendPermitRequest: (to: string, ask: PermitRequest) => void;
+	sendPermitResponse: (to: string, answer: PermitResponse) => void;
 	/** Others should hear of something. */
 	onNews: () => void;
 	/** `dueAt` changed. */
-	onDue: () => void;
+	onDueChanged: () => void;
 }
 
-export class FleetLimits implements LimitNews {
+export class FleetLimits implements LimitGossip {
 	readonly ledger: LimitLedger;
-	readonly permits: EnginePermits;
+	readonly permits: PermitClient;
 	private readonly election: IssuerElection;
 	private readonly issuer: PermitIssuer;
 	private wasSelf = false;
-	private readonly returnsOf = new Map<string, ReturnSchedule>();
+	private readonly returnsOf = new Map<string, RetrySchedule>();
 
 	constructor(private readonly opts: FleetLimitsOptions) {
-		const { clock, log, random, self, engineId, rank, vms, sendAsk, onNews, onDue } = opts;
+		const {
+			clock,
+			log,
+			random,
+			ownAddress: self,
+			engineId,
+			getRank: rank,
+			vms,
+			sendPermitRequest: sendAsk,
+			onNews,
+			onDueChanged: onDue,
+		} = opts;
 		this.ledger = new LimitLedger({
 			clock,
 			onChanged: onNews,
-			onLimit: ({ engine, perS, version }, before) => {
+			onLimitChanged: ({ engine, limitPerS: perS, version }, before) => {
 				const fields = { engine: engineId(engine) ?? engine, limit_per_s: perS, version };
 				log.info('engine.limit', fields);
 				if (perS === undefined || (before !== undefined && perS > before)) {
-					this.permits.reopen(engine);
+					this.permits.clearDenials(engine);
 					onDue();
 				}
 			},
 		});
-		const wordOf = (engine: EngineRef) => this.ledger.wordOf(engine);
+		const wordOf = (engine: EngineRef) => this.ledger.getLimit(engine);
 		this.election = new IssuerElection({
 			clock,
 			log,
-			self,
-			rank,
+			ownAddress: self,
+			getRank: rank,
 			isNeeded: () => this.ledger.size > 0,
 			onChanged: onNews,
 		});
 		this.issuer = new PermitIssuer({
 			clock,
 			random,
-			wordOf,
-			share: () => this.share,
+			getLimit: wordOf,
+			getShare: () => this.share,
 			isIssuing: () => this.election.isIssuing,
 		});
-		this.permits = new EnginePermits({
+		this.permits = new PermitClient({
 			clock,
 			random,
-			self,
-			wordOf,
-			vms,
-			isIssuer: () => this.election.isSelf,
-			issue: (ask, answer) => this.issuer.ask(ask, answer),
-			issuer: () => this.election.address,
-			send: sendAsk,
-			onChanged: onDue,
+			ownAddress: self,
+			getLimit: wordOf,
+			getVmCount: vms,
+			isIssuer: () => this.election.isElected,
+			requestLocally: (ask, answer) => this.issuer.handleRequest(ask, answer),
+			getIssuerAddress: () => this.election.issuerAddress,
+			sendRequest: sendAsk,
+			onDueChanged: onDue,
 		});
 	}
 
@@ -110,8 +121,8 @@
 	}
 
 	/** When callers of a service come back that were refused because all of its engines name limits. */
-	returns(service: string): ReturnSchedule {
-		const schedule = this.returnsOf.get(service) ?? new ReturnSchedule();
+	getRetrySchedule(service: string): RetrySchedule {
+		const schedule = this.returnsOf.get(service) ?? new RetrySchedule();
 		this.returnsOf.set(service, schedule);
 		return schedule;
 	}
@@ -134,17 +145,17 @@
 		this.noteIssuer();
 	}
 
-	wordsToTell(kind: NewsKind): LimitWord[] {
-		return this.ledger.wordsToTell(kind);
+	getUpdatesToSend(kind: NewsKind): LimitUpdate[] {
+		return this.ledger.getUpdatesToSend(kind);
 	}
 
-	issuerToTell(): IssuerWord | undefined {
-		return this.election.wordToTell;
+	getIssuerToSend(): IssuerAnnouncement | undefined {
+		return this.election.announcementToSend;
 	}
 
-	take(words: readonly LimitWord[], issuer: IssuerWord | undefined): boolean {
-		const hasWords = this.ledger.take(words);
-		const hasIssuer = issuer !== undefined && this.election.take(issuer);
+	merge(words: readonly LimitUpdate[], issuer: IssuerAnnouncement | undefined): boolean {
+		const hasWords = this.ledger.merge(words);
+		const hasIssuer = issuer !== undefined && this.election.merge(issuer);
 		if (hasIssuer) {
 			this.noteIssuer();
 		}
@@ -152,16 +163,16 @@
 	}
 
 	/** Another VM asks for a permit. */
-	asked(ask: PermitAsk): void {
-		this.ledger.take([ask.word]);
-		this.issuer.ask(ask, (answer) => this.opts.sendAnswer(ask.from, answer));
-		this.opts.onDue();
+	handlePermitRequest(ask: PermitRequest): void {
+		this.ledger.merge([ask.limit]);
+		this.issuer.handleRequest(ask, (answer) => this.opts.sendPermitResponse(ask.from, answer));
+		this.opts.onDueChanged();
 	}
 
 	/** The issuer answers. */
-	answered(answer: PermitAnswer): void {
-		this.ledger.take([answer.word]);
-		this.permits.answered(answer);
+	handlePermitResponse(answer: PermitResponse): void {
+		this.ledger.merge([answer.limit]);
+		this.permits.handleResponse(answer);
 	}
 
 	/**
@@ -170,11 +181,11 @@
 	 */
 	private get share(): number {
 		const heard = this.opts.heardVms();
-		return heard / Math.max(heard, this.opts.vms() ?? assumedVms);
+		return heard / Math.max(heard, this.opts.vms() ?? assumedVmCount);
 	}
 
 	private noteIssuer(): void {
-		const { isSelf } = this.election;
+		const { isElected: isSelf } = this.election;
 		if (this.wasSelf && !isSelf) {
 			this.issuer.resign();
 		}
--- a/src/core/limits/issuer-election.ts
+++ b/src/core/limits/issuer-election.ts
@@ -12,7 +12,7 @@
 import type { ListedVm } from '../fleet/aggregator-selection.js';
 import { addressOf } from '../fleet/aggregator-selection.js';
 import * as rendezvous from '../membership/rendezvous.js';
-import type { IssuerWord } from './types.js';
+import type { IssuerAnnouncement } from './types.js';
 
 /** Names the order of VMs among others that are made by hashing. */
 const orderName = 'permits';
@@ -33,9 +33,9 @@
 	clock: Clock;
 	log: Log;
 	/** Where this VM hears datagrams, as IP:PORT. */
-	self: string;
+	ownAddress: string;
 	/** This VM's place in the order that all VMs share, 0 for the first, with an address left out. */
-	rank: (without?: string) => number;
+	getRank: (without?: string) => number;
 	/** Whether any limit is in force. */
 	isNeeded: () => boolean;
 	/** Others should hear of it. */
@@ -44,7 +44,7 @@
 
 /** All times in milliseconds since boot: an issuer that was suspended must not go on as if no time had passed. */
 export class IssuerElection {
-	private word?: IssuerWord;
+	private word?: IssuerAnnouncement;
 	private heardAt = Number.NEGATIVE_INFINITY;
 	private neededSince?: number;
 	/** Term that this process took over in; an earlier life of the VM may have had others. */
@@ -57,26 +57,26 @@
 	constructor(private readonly opts: IssuerElectionOptions) {}
 
 	/** Whether this VM issues permits, or will once others had time to object. */
-	get isSelf(): boolean {
+	get isElected(): boolean {
 		return this.isOwn && this.now - this.updatedAt < lapsedMs;
 	}
 
 	/** Whether it issues them now. */
 	get isIssuing(): boolean {
-		return this.isSelf && this.now >= this.grantsFrom;
+		return this.isElected && this.now >= this.grantsFrom;
 	}
 
 	/** The VM to ask, as IP:PORT; undefined while none is heard. */
-	get address(): string | undefined {
+	get issuerAddress(): string | undefined {
 		const { word } = this;
 		if (!word || word.isResigned || this.now - this.heardAt >= silentMs) {
 			return undefined;
 		}
-		return word.address === this.opts.self ? undefined : word.address;
+		return word.address === this.opts.ownAddress ? undefined : word.address;
 	}
 
 	/** What news tell; undefined while no limit is in force. */
-	get wordToTell(): IssuerWord | undefined {
+	get announcementToSend(): IssuerAnnouncement | undefined {
 		return this.opts.isNeeded() ? this.word : undefined;
 	}
 
@@ -101,7 +101,7 @@
 	}
 
 	/** @returns whether it is news here */
-	take(word: IssuerWord): boolean {
+	merge(word: IssuerAnnouncement): boolean {
 		if (!isNewer(word, this.word)) {
 			return false;
 		}
@@ -118,7 +118,7 @@
 		this.isRetired = true;
 		if (this.isOwn && this.word) {
 			this.ownTerm = undefined;
-			this.word = { ...this.word, beat: this.word.beat + 1, isResigned: true };
+			this.word = { ...this.word, heartbeatSeq: this.word.heartbeatSeq + 1, isResigned: true };
 			this.opts.onChanged();
 		}
 	}
@@ -132,13 +132,13 @@
 	}
 
 	private get isOwnAddress(): boolean {
-		return this.word?.address === this.opts.self;
+		return this.word?.address === this.opts.ownAddress;
 	}
 
 	/** When this VM takes over unless another is heard. */
 	private claimAt(neededSince: number): number {
 		const { word } = this;
-		const waitMs = Math.min(this.opts.rank(word?.address), claimSteps) * claimStepMs;
+		const waitMs = Math.min(this.opts.getRank(word?.address), claimSteps) * claimStepMs;
 		if (!word) {
 			return neededSince + waitMs;
 		}
@@ -147,10 +147,10 @@
 	}
 
 	private claim(now: number): void {
-		const { self, log } = this.opts;
+		const { ownAddress: self, log } = this.opts;
 		const term = (this.word?.term ?? 0) + 1;
 		this.ownTerm = term;
-		this.word = { address: self, term, beat: 0, isResigned: false };
+		this.word = { address: self, term, heartbeatSeq: 0, isResigned: false };
 		this.grantsFrom = now + settleMs;
 		this.beat(now);
 		log.info('permits.issuer', { address: self, term });
@@ -159,7 +159,7 @@
 	private beat(now: number): void {
 		const { word } = this;
 		if (word && now - this.beatAt >= beatMs) {
-			this.word = { ...word, beat: word.beat + 1 };
+			this.word = { ...word, heartbeatSeq: word.heartbeatSeq + 1 };
 			this.beatAt = now;
 			this.heardAt = now;
 			this.opts.onChanged();
@@ -181,9 +181,11 @@
 	return one.cores > other.cores || (one.cores === other.cores && scoreOf(one) > scoreOf(other));
 }
 
-function isNewer(word: IssuerWord, known: IssuerWord | undefined): boolean {
+function isNewer(word: IssuerAnnouncement, known: IssuerAnnouncement | undefined): boolean {
 	if (!known || word.term !== known.term) {
 		return word.term > (known?.term ?? 0);
 	}
-	return word.address === known.address ? word.beat > known.beat : word.address < known.address;
+	return word.address === known.address
+		? word.heartbeatSeq > known.heartbeatSeq
+		: word.address < known.address;
 }
--- a/src/core/limits/limit-ledger.ts
+++ b/src/core/limits/limit-ledger.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock } from '../definitions.js';
 import type { EngineRef, NewsKind } from '../fleet/types.js';
-import type { LimitWord } from './types.js';
+import type { LimitUpdate } from './types.js';
 
 /** A change goes along with all news for so long, in milliseconds; lost datagrams are made good by the next. */
 const tellMs = 2000;
@@ -41,7 +41,7 @@
 	/** A word changed that others should hear. */
 	onChanged: () => void;
 	/** A limit was named, changed or ended; `before` in requests a second. */
-	onLimit: (word: LimitWord, before: number | undefined) => void;
+	onLimitChanged: (word: LimitUpdate, before: number | undefined) => void;
 }
 
 export class LimitLedger {
@@ -57,17 +57,17 @@
 	}
 
 	/** Requests a second that an engine takes from all VMs together; undefined when it names no limit. */
-	perS(engine: EngineRef): number | undefined {
+	getLimitPerS(engine: EngineRef): number | undefined {
 		return this.inForce === 0 ? undefined : this.records.get(engine)?.perS;
 	}
 
-	wordOf(engine: EngineRef): LimitWord {
+	getLimit(engine: EngineRef): LimitUpdate {
 		const { perS, version = 0 } = this.records.get(engine) ?? {};
-		return { engine, perS, version };
+		return { engine, limitPerS: perS, version };
 	}
 
 	/** An answer of the engine named a limit. */
-	named(engine: EngineRef, perS: number): void {
+	recordLimit(engine: EngineRef, perS: number): void {
 		const record = this.records.get(engine);
 		if (record && record.perS === perS) {
 			record.heardAt = this.now;
@@ -80,7 +80,7 @@
 	 * An answer of the engine itself named none.
 	 * @param sentAt when its request left, in monotonic milliseconds: an answer that was made before the limit was named ends nothing
 	 */
-	notNamed(engine: EngineRef, sentAt: number): void {
+	recordNoLimit(engine: EngineRef, sentAt: number): void {
 		const record = this.records.get(engine);
 		if (record?.perS !== undefined && sentAt > record.heardAt) {
 			this.set(engine, undefined, record.version + 1);
@@ -88,9 +88,9 @@
 	}
 
 	/** @returns whether any word is new here, or older than what is known here and has to be answered */
-	take(words: readonly LimitWord[]): boolean {
+	merge(words: readonly LimitUpdate[]): boolean {
 		let isNew = false;
-		for (const { engine, perS, version } of words) {
+		for (const { engine, limitPerS: perS, version } of words) {
 			const record = this.records.get(engine);
 			const before = record?.version ?? 0;
 			if (version > before || (version === before && isStricter(perS, record?.perS))) {
@@ -105,7 +105,7 @@
 	}
 
 	/** @param kind of the news that they go with; each kind has other readers */
-	wordsToTell(kind: NewsKind): LimitWord[] {
+	getUpdatesToSend(kind: NewsKind): LimitUpdate[] {
 		if (this.records.size === 0) {
 			return [];
 		}
@@ -121,7 +121,7 @@
 		if (repeats && round.next >= due.length) {
 			round.repeatedAt = now;
 		}
-		return due.slice(from, round.next).map(([engine]) => this.wordOf(engine));
+		return due.slice(from, round.next).map(([engine]) => this.getLimit(engine));
 	}
 
 	/**
@@ -149,7 +149,7 @@
 		this.count();
 		this.opts.onChanged();
 		if (perS !== before) {
-			this.opts.onLimit({ engine, perS, version }, before);
+			this.opts.onLimitChanged({ engine, limitPerS: perS, version }, before);
 		}
 	}
 
--- a/src/core/limits/engine-permits.ts
+++ b/src/core/limits/permit-client.ts
@@ -6,8 +6,8 @@
 import type { Clock, Random } from '../definitions.js';
 import type { EngineRef } from '../fleet/types.js';
 import { urgencyLevels } from '../relay/definitions.js';
-import { leastPerS } from './permit-issuer.js';
-import type { LimitWord, PermitAnswer, PermitAsk } from './types.js';
+import { minLimitPerS } from './permit-issuer.js';
+import type { LimitUpdate, PermitRequest, PermitResponse } from './types.js';
 
 /** An ask that is not answered is sent again after this time, in milliseconds: datagrams are lost now and then. */
 const resendMs = 40;
@@ -21,45 +21,45 @@
  */
 const aloneShare = 0.25;
 /** VMs that share a limit while their number is not known: one that has just started, and hears nobody, would else take all of it. */
-export const assumedVms = 64;
+export const assumedVmCount = 64;
 
 /** Whether a request may go to an engine, and if not, when it is worth asking again, in milliseconds. */
-export type PermitResult = Pick<PermitAnswer, 'isGranted' | 'retryAfterMs'>;
+export type PermitResult = Pick<PermitResponse, 'isGranted' | 'retryAfterMs'>;
 
 /** An ask under way. */
-export interface PermitCall {
+export interface PermitRequestHandle {
 	/** The request no longer wants it. */
 	cancel(): void;
 }
 
 interface Pending {
-	ask: PermitAsk;
+	ask: PermitRequest;
 	resendAt: number;
 	until: number;
 	done: (result: PermitResult) => void;
 }
 
-export interface EnginePermitsOptions {
+export interface PermitClientOptions {
 	clock: Clock;
 	random: Random;
 	/** Where answers go, as IP:PORT. */
-	self: string;
-	wordOf: (engine: EngineRef) => LimitWord;
+	ownAddress: string;
+	getLimit: (engine: EngineRef) => LimitUpdate;
 	/** VMs of the fleet; undefined while not known. */
-	vms: () => number | undefined;
+	getVmCount: () => number | undefined;
 	/** Whether this VM issues permits itself. */
 	isIssuer: () => boolean;
 	/** Issues here. */
-	issue: (ask: PermitAsk, answer: (answer: PermitAnswer) => void) => void;
+	requestLocally: (ask: PermitRequest, answer: (answer: PermitResponse) => void) => void;
 	/** The VM to ask; undefined while none is heard. */
-	issuer: () => string | undefined;
-	send: (to: string, ask: PermitAsk) => void;
+	getIssuerAddress: () => string | undefined;
+	sendRequest: (to: string, ask: PermitRequest) => void;
 	/** `dueAt` changed. */
-	onChanged: () => void;
+	onDueChanged: () => void;
 }
 
 /** All times in monotonic milliseconds. */
-export class EnginePermits {
+export class PermitClient {
 	private readonly pending = new Map<number, Pending>();
 	/** When asking is worth it again, for each level of urgency. */
 	private readonly closedUntil = new Map<EngineRef, number[]>();
@@ -69,7 +69,7 @@
 	private closedIssuer?: { address: string; until: number };
 	private lastId: number;
 
-	constructor(private readonly opts: EnginePermitsOptions) {
+	constructor(private readonly opts: PermitClientOptions) {
 		this.lastId = Math.floor(opts.random.next() * 2 ** 31);
 	}
 
@@ -82,23 +82,31 @@
 	}
 
 	/** For how long asking for an engine is no use, in milliseconds; 0 when it is, or when the engine names no limit. */
-	closedMs(engine: EngineRef, urgency: number): number {
-		if (this.opts.wordOf(engine).perS === undefined) {
+	getRetryDelayMs(engine: EngineRef, urgency: number): number {
+		if (this.opts.getLimit(engine).limitPerS === undefined) {
 			return 0;
 		}
 		return Math.max(0, (this.closedUntil.get(engine)?.[urgency] ?? 0) - this.now);
 	}
 
 	/** @param done called once, at once or later, unless cancelled */
-	ask(
+	request(
 		engine: EngineRef,
 		urgency: number,
 		waitMs: number,
 		done: (result: PermitResult) => void,
-	): PermitCall {
-		const { isIssuer, issue, issuer, self, wordOf, send, onChanged } = this.opts;
+	): PermitRequestHandle {
+		const {
+			isIssuer,
+			requestLocally: issue,
+			getIssuerAddress: issuer,
+			ownAddress: self,
+			getLimit: wordOf,
+			sendRequest: send,
+			onDueChanged: onChanged,
+		} = this.opts;
 		const id = ++this.lastId;
-		const ask = { from: self, id, word: wordOf(engine), urgency, waitMs };
+		const ask = { from: self, id, limit: wordOf(engine), urgency, waitMs };
 		const to = issuer();
 		const mayAsk = to !== undefined && !this.isClosed(to);
 		if (!isIssuer() && !mayAsk) {
@@ -111,7 +119,7 @@
 		const until = now + waitMs + graceMs;
 		this.pending.set(id, { ask, resendAt: now + resendMs, until, done });
 		if (isIssuer()) {
-			issue(ask, (answer) => this.answered(answer));
+			issue(ask, (answer) => this.handleResponse(answer));
 		} else if (to !== undefined) {
 			send(to, ask);
 		}
@@ -120,7 +128,7 @@
 	}
 
 	/** The issuer's answer, which may come late, or again. */
-	answered({ id, isGranted, retryAfterMs }: PermitAnswer): void {
+	handleResponse({ id, isGranted, retryAfterMs }: PermitResponse): void {
 		const pending = this.pending.get(id);
 		if (pending) {
 			this.settle(id, pending, { isGranted, retryAfterMs });
@@ -141,11 +149,11 @@
 	}
 
 	/** The engine takes more than before: asking is worth it again at once. */
-	reopen(engine: EngineRef): void {
+	clearDenials(engine: EngineRef): void {
 		this.closedUntil.delete(engine);
 	}
 
-	forget(engine: EngineRef): void {
+	removeEngine(engine: EngineRef): void {
 		this.closedUntil.delete(engine);
 		this.aloneAt.delete(engine);
 	}
@@ -158,15 +166,15 @@
 		return this.closedIssuer?.address === issuer && this.now < this.closedIssuer.until;
 	}
 
-	private resend(ask: PermitAsk): void {
-		const to = this.opts.issuer();
+	private resend(ask: PermitRequest): void {
+		const to = this.opts.getIssuerAddress();
 		if (to !== undefined && !this.opts.isIssuer()) {
-			this.opts.send(to, ask);
+			this.opts.sendRequest(to, ask);
 		}
 	}
 
 	private unanswered(id: number, pending: Pending): void {
-		const address = this.opts.issuer();
+		const address = this.opts.getIssuerAddress();
 		if (address !== undefined) {
 			this.closedIssuer = { address, until: this.now + unansweredMs };
 		}
@@ -180,25 +188,26 @@
 	}
 
 	/** Requests at least as little urgent as one that was denied are not worth asking for sooner. */
-	private note(ask: PermitAsk, { isGranted, retryAfterMs }: PermitResult): void {
+	private note(ask: PermitRequest, { isGranted, retryAfterMs }: PermitResult): void {
 		if (isGranted) {
 			return;
 		}
-		const closed = this.closedUntil.get(ask.word.engine) ?? new Array(urgencyLevels).fill(0);
+		const closed = this.closedUntil.get(ask.limit.engine) ?? new Array(urgencyLevels).fill(0);
 		for (let level = ask.urgency; level < urgencyLevels; level++) {
 			closed[level] = Math.max(closed[level] ?? 0, this.now + retryAfterMs);
 		}
-		this.closedUntil.set(ask.word.engine, closed);
+		this.closedUntil.set(ask.limit.engine, closed);
 	}
 
 	private takeAlone(engine: EngineRef): PermitResult {
 		const { now } = this;
-		const { perS } = this.opts.wordOf(engine);
+		const { limitPerS: perS } = this.opts.getLimit(engine);
 		if (perS === undefined) {
 			return { isGranted: true, retryAfterMs: 0 };
 		}
 		const intervalMs =
-			(1000 * (this.opts.vms() ?? assumedVms)) / (Math.max(perS, leastPerS) * aloneShare);
+			(1000 * (this.opts.getVmCount() ?? assumedVmCount)) /
+			(Math.max(perS, minLimitPerS) * aloneShare);
 		const nextAt = this.aloneAt.get(engine) ?? now + intervalMs * this.opts.random.next();
 		const isGranted = now >= nextAt;
 		this.aloneAt.set(engine, isGranted ? now + intervalMs : Math.min(nextAt, now + intervalMs));
--- a/src/core/limits/permit-issuer.ts
+++ b/src/core/limits/permit-issuer.ts
@@ -5,12 +5,12 @@
  */
 import type { Clock, Random } from '../definitions.js';
 import type { EngineRef } from '../fleet/types.js';
-import type { WaitingAsk } from './engine-turns.js';
-import { EngineTurns } from './engine-turns.js';
-import type { LimitWord, PermitAnswer, PermitAsk } from './types.js';
+import type { QueuedPermitRequest } from './permit-queue.js';
+import { PermitQueue } from './permit-queue.js';
+import type { LimitUpdate, PermitRequest, PermitResponse } from './types.js';
 
 /** An engine that takes less is asked this often whether it still does, in requests a second. */
-export const leastPerS = 0.1;
+export const minLimitPerS = 0.1;
 /** So many asks come in the time of one permit, once all that were denied have spread: most permits are then used at once. */
 const asksEach = 4;
 /** Those denied are spread over this time at the most, in milliseconds. */
@@ -26,16 +26,16 @@
 	clock: Clock;
 	random: Random;
 	/** What is known of an engine's limit. */
-	wordOf: (engine: EngineRef) => LimitWord;
+	getLimit: (engine: EngineRef) => LimitUpdate;
 	/** Share of all limits that this VM may issue: the part of the fleet that it hears. */
-	share: () => number;
+	getShare: () => number;
 	/** Whether this VM issues permits now. */
 	isIssuing: () => boolean;
 }
 
 export class PermitIssuer {
-	private readonly engines = new Map<EngineRef, EngineTurns>();
-	private readonly answered = new Map<string, { answer: PermitAnswer; at: number }>();
+	private readonly engines = new Map<EngineRef, PermitQueue>();
+	private readonly answered = new Map<string, { answer: PermitResponse; at: number }>();
 	/** Asks that wait, over all engines. */
 	private waitingCount = 0;
 
@@ -58,22 +58,22 @@
 	}
 
 	/** Answers at once, or within the time that the ask can wait. */
-	ask(ask: PermitAsk, answer: (answer: PermitAnswer) => void): void {
+	handleRequest(ask: PermitRequest, answer: (answer: PermitResponse) => void): void {
 		const known = this.answered.get(nameOf(ask));
 		if (known) {
 			answer(known.answer);
 			return;
 		}
-		const { engine } = ask.word;
+		const { engine } = ask.limit;
 		if (!this.opts.isIssuing()) {
 			answer(this.answerTo(ask, false, leastRetryMs + this.spreadMs(notIssuingMs)));
 			return;
 		}
 		const turns = this.turnsOf(engine);
-		if (turns.waiting.some((other) => nameOf(other.ask) === nameOf(ask))) {
+		if (turns.waiting.some((other) => nameOf(other.request) === nameOf(ask))) {
 			return;
 		}
-		turns.wait({ ask, until: this.now + ask.waitMs, answer }, this.now);
+		turns.enqueue({ request: ask, expiresAt: this.now + ask.waitMs, respond: answer }, this.now);
 		this.waitingCount++;
 		this.issue(engine, turns);
 	}
@@ -94,7 +94,10 @@
 			}
 		}
 		for (const [engine, turns] of this.engines) {
-			if (turns.countAskers(now) === 0 && this.opts.wordOf(engine).perS === undefined) {
+			if (
+				turns.countRecentRequesters(now) === 0 &&
+				this.opts.getLimit(engine).limitPerS === undefined
+			) {
 				this.engines.delete(engine);
 			}
 		}
@@ -115,10 +118,10 @@
 		return this.opts.clock.monotonic();
 	}
 
-	private turnsOf(engine: EngineRef): EngineTurns {
+	private turnsOf(engine: EngineRef): PermitQueue {
 		let turns = this.engines.get(engine);
 		if (!turns) {
-			turns = new EngineTurns(this.now, this.intervalMs(engine) ?? 0);
+			turns = new PermitQueue(this.now, this.intervalMs(engine) ?? 0);
 			this.engines.set(engine, turns);
 		}
 		return turns;
@@ -126,11 +129,13 @@
 
 	/** Time of one permit, in milliseconds; undefined when the engine names no limit any more. */
 	private intervalMs(engine: EngineRef): number | undefined {
-		const { perS } = this.opts.wordOf(engine);
-		return perS === undefined ? undefined : 1000 / (Math.max(perS, leastPerS) * this.opts.share());
+		const { limitPerS: perS } = this.opts.getLimit(engine);
+		return perS === undefined
+			? undefined
+			: 1000 / (Math.max(perS, minLimitPerS) * this.opts.getShare());
 	}
 
-	private issue(engine: EngineRef, turns: EngineTurns): void {
+	private issue(engine: EngineRef, turns: PermitQueue): void {
 		const { now } = this;
 		const intervalMs = this.intervalMs(engine);
 		if (intervalMs === undefined) {
@@ -140,30 +145,30 @@
 			return;
 		}
 		while (turns.waiting.length > 0 && turns.isReady(now, intervalMs)) {
-			const next = turns.shift(now, intervalMs);
+			const next = turns.dequeue(now, intervalMs);
 			if (!next) {
 				break;
 			}
-			turns.take(now, intervalMs);
+			turns.consumePermit(now, intervalMs);
 			this.settle(next, true, 0);
 		}
-		const late = turns.waiting.filter(({ until }) => now >= until);
-		turns.waiting = turns.waiting.filter(({ until }) => now < until);
+		const late = turns.waiting.filter(({ expiresAt: until }) => now >= until);
+		turns.waiting = turns.waiting.filter(({ expiresAt: until }) => now < until);
 		for (const one of late) {
-			turns.denied(one.ask.urgency, now);
-			this.settle(one, false, this.retryAfterMs(turns, one.ask.urgency, intervalMs));
+			turns.recordDenial(one.request.urgency, now);
+			this.settle(one, false, this.retryAfterMs(turns, one.request.urgency, intervalMs));
 		}
 	}
 
 	/** Until a permit for it can be expected, spread so that those denied do not ask again together. */
-	private retryAfterMs(turns: EngineTurns, urgency: number, intervalMs: number): number {
+	private retryAfterMs(turns: PermitQueue, urgency: number, intervalMs: number): number {
 		const readyAt = turns.readyAt(intervalMs);
 		// Those that wait less long will be denied as well.
 		const before = turns.waiting.filter(
-			({ ask, until }) => ask.urgency <= urgency && until >= readyAt,
+			({ request: ask, expiresAt: until }) => ask.urgency <= urgency && until >= readyAt,
 		);
 		const freeMs = readyAt - this.now + before.length * intervalMs;
-		const spreadMs = (turns.countAskers(this.now) * intervalMs) / asksEach;
+		const spreadMs = (turns.countRecentRequesters(this.now) * intervalMs) / asksEach;
 		return Math.max(leastRetryMs, freeMs + this.spreadMs(Math.min(spreadMs, longestSpreadMs)));
 	}
 
@@ -171,18 +176,18 @@
 		return this.opts.random.next() * most;
 	}
 
-	private settle(one: WaitingAsk, isGranted: boolean, retryAfterMs: number): void {
+	private settle(one: QueuedPermitRequest, isGranted: boolean, retryAfterMs: number): void {
 		this.waitingCount--;
-		const answer = this.answerTo(one.ask, isGranted, retryAfterMs);
-		this.answered.set(nameOf(one.ask), { answer, at: this.now });
-		one.answer(answer);
+		const answer = this.answerTo(one.request, isGranted, retryAfterMs);
+		this.answered.set(nameOf(one.request), { answer, at: this.now });
+		one.respond(answer);
 	}
 
-	private answerTo(ask: PermitAsk, isGranted: boolean, retryAfterMs: number): PermitAnswer {
-		return { id: ask.id, word: this.opts.wordOf(ask.word.engine), isGranted, retryAfterMs };
+	private answerTo(ask: PermitRequest, isGranted: boolean, retryAfterMs: number): PermitResponse {
+		return { id: ask.id, limit: this.opts.getLimit(ask.limit.engine), isGranted, retryAfterMs };
 	}
 }
 
-function nameOf({ from, id }: PermitAsk): string {
+function nameOf({ from, id }: PermitRequest): string {
 	return `${from} ${id}`;
 }
--- a/src/core/limits/engine-turns.ts
+++ b/src/core/limits/permit-queue.ts
@@ -2,7 +2,7 @@
  * Asks for permits of one engine and their order: the most urgent first, and room kept for those that can wait the least.
  * @module
  */
-import type { PermitAnswer, PermitAsk } from './types.js';
+import type { PermitRequest, PermitResponse } from './types.js';
 
 /**
  * Unused permits are kept up to so many, or as many as come in so many milliseconds: asks come in bursts. The engine's bound leaves
@@ -17,10 +17,10 @@
 /** Permits are kept for urgent requests for so long after one was denied at the least, in milliseconds. */
 const leastHeldMs = 1000;
 
-export interface WaitingAsk {
-	ask: PermitAsk;
-	until: number;
-	answer: (answer: PermitAnswer) => void;
+export interface QueuedPermitRequest {
+	request: PermitRequest;
+	expiresAt: number;
+	respond: (answer: PermitResponse) => void;
 }
 
 /** A VM that asked for permits. */
@@ -31,8 +31,8 @@
 }
 
 /** Asks and permits of one engine. All times in monotonic milliseconds. */
-export class EngineTurns {
-	waiting: WaitingAsk[] = [];
+export class PermitQueue {
+	waiting: QueuedPermitRequest[] = [];
 	/** VMs that asked lately. */
 	private readonly askers = new Map<string, Asker>();
 	private granted = 0;
@@ -61,25 +61,25 @@
 
 	/** When something is due for the asks that wait, in monotonic milliseconds. */
 	dueAt(now: number, intervalMs: number): number {
-		const until = Math.min(...this.waiting.map((one) => one.until));
+		const until = Math.min(...this.waiting.map((one) => one.expiresAt));
 		const readyAt = this.readyAt(intervalMs);
 		const isHeld = now >= readyAt;
 		return Math.min(until, isHeld ? Math.min(this.usedUpAt, this.heldUntil(intervalMs)) : readyAt);
 	}
 
-	take(now: number, intervalMs: number): void {
+	consumePermit(now: number, intervalMs: number): void {
 		this.usedUpAt = Math.max(this.usedUpAt, now) + intervalMs;
 		this.granted++;
 	}
 
 	/** A request was denied for want of permits. */
-	denied(urgency: number, now: number): void {
+	recordDenial(urgency: number, now: number): void {
 		this.deniedAt[urgency] = now;
 	}
 
 	/** An ask that waits until its turn, or until its time is over. */
-	wait(one: WaitingAsk, now: number): void {
-		const { from } = one.ask;
+	enqueue(one: QueuedPermitRequest, now: number): void {
+		const { from } = one.request;
 		const grantedAt = this.askers.get(from)?.grantedAt ?? Number.NEGATIVE_INFINITY;
 		this.askers.set(from, { askedAt: now, grantedAt });
 		this.waiting.push(one);
@@ -90,24 +90,24 @@
 	 * urgent requests were denied lately and further permits can be kept for them: they can wait the least, and would else be passed over
 	 * for others that wait long.
 	 */
-	shift(now: number, intervalMs: number): WaitingAsk | undefined {
-		const [first, ...others] = this.waiting as [WaitingAsk, ...WaitingAsk[]];
+	dequeue(now: number, intervalMs: number): QueuedPermitRequest | undefined {
+		const [first, ...others] = this.waiting as [QueuedPermitRequest, ...QueuedPermitRequest[]];
 		const toLongest = this.granted % turnsToLongest === turnsToLongest - 1;
 		let next = first;
 		for (const one of toLongest ? [] : others) {
-			next = this.goesBefore(one.ask, next.ask) ? one : next;
+			next = this.goesBefore(one.request, next.request) ? one : next;
 		}
-		const isKeptFor = now < this.heldUntil(intervalMs, next.ask.urgency);
+		const isKeptFor = now < this.heldUntil(intervalMs, next.request.urgency);
 		if (!toLongest && isKeptFor && now < this.usedUpAt) {
 			return undefined;
 		}
 		this.waiting = this.waiting.filter((other) => other !== next);
-		this.askers.set(next.ask.from, { askedAt: now, grantedAt: now });
+		this.askers.set(next.request.from, { askedAt: now, grantedAt: now });
 		return next;
 	}
 
 	/** VMs that asked lately. */
-	countAskers(now: number): number {
+	countRecentRequesters(now: number): number {
 		for (const [vm, { askedAt }] of this.askers) {
 			if (now - askedAt > askersMs) {
 				this.askers.delete(vm);
@@ -123,11 +123,11 @@
 	}
 
 	private get mostUrgent(): number {
-		return Math.min(...this.waiting.map(({ ask }) => ask.urgency));
+		return Math.min(...this.waiting.map(({ request: ask }) => ask.urgency));
 	}
 
-	private goesBefore(one: PermitAsk, other: PermitAsk): boolean {
-		const grantedAt = ({ from }: PermitAsk) => this.askers.get(from)?.grantedAt ?? 0;
+	private goesBefore(one: PermitRequest, other: PermitRequest): boolean {
+		const grantedAt = ({ from }: PermitRequest) => this.askers.get(from)?.grantedAt ?? 0;
 		return one.urgency === other.urgency
 			? grantedAt(one) < grantedAt(other)
 			: one.urgency < other.urgency;
--- a/src/core/limits/return-schedule.ts
+++ b/src/core/limits/retry-schedule.ts
@@ -11,13 +11,13 @@
 /** Nobody is sent away for longer, in seconds: limits change and end. */
 const mostS = 8;
 
-export class ReturnSchedule {
+export class RetrySchedule {
 	private passed: number[] = [];
 	/** When the last one that was sent away comes back, in monotonic milliseconds. */
 	private lastReturnAt = 0;
 
 	/** A request was let through to an engine that names a limit. */
-	letThrough(now: number): void {
+	recordAdmission(now: number): void {
 		this.passed = this.passed.filter((at) => now - at < countMs);
 		this.passed.push(now);
 	}
@@ -26,7 +26,7 @@
 	 * @param openMs until the first engine may be asked again, in milliseconds
 	 * @returns seconds after which the caller may come back
 	 */
-	nextS(now: number, openMs: number): number {
+	assignRetryAfterS(now: number, openMs: number): number {
 		const count = this.passed.filter((at) => now - at < countMs).length;
 		const perS = Math.max(leastPerS, (count * 1000) / countMs);
 		const latest = now + mostS * 1000;
--- a/src/core/quarantine/content-hash.ts
+++ b/src/core/quarantine/content-hash.ts
@@ -17,26 +17,26 @@
 const headBits = 0x1fffff;
 
 /** Cheap: contents that nobody has heard of are told by it. */
-export function headOf(req: CallerRequest, customer: string | undefined): HeadHash {
+export function hashHead(req: CallerRequest, customer: string | undefined): HeadHash {
 	const head = `${req.method} ${req.host}${req.target} ${customer ?? ''} ${req.body.length}`;
 	return rendezvous.hashText(head) & headBits;
 }
 
 /** Reads the whole body. */
-export function contentOf(req: CallerRequest, customer: string | undefined): ContentHash {
+export function hashContent(req: CallerRequest, customer: string | undefined): ContentHash {
 	const { body } = req;
 	let hash = fnvOffset;
 	for (let at = 0; at < body.length; at++) {
 		hash = Math.imul(hash ^ (body[at] as number), fnvPrime);
 	}
-	return headOf(req, customer) * bodyValues + (hash >>> 0);
+	return hashHead(req, customer) * bodyValues + (hash >>> 0);
 }
 
-export function headIn(content: ContentHash): HeadHash {
+export function extractHeadHash(content: ContentHash): HeadHash {
 	return Math.floor(content / bodyValues);
 }
 
 /** The content as logs and keys name it. */
-export function nameOf(content: ContentHash): string {
+export function formatContentHash(content: ContentHash): string {
 	return content.toString(16);
 }
--- a/src/core/quarantine/crash-causes.ts
+++ b/src/core/quarantine/crash-causes.ts
@@ -23,7 +23,7 @@
  * those with fewer. A busy engine has twenty requests: without this the nineteen others would be refused with the one.
  * @param evidence engines that ended under each content
  */
-export function causesOf(evidence: Evidence): Set<ContentHash> {
+export function findCrashCauses(evidence: Evidence): Set<ContentHash> {
 	const causes = new Set<ContentHash>();
 	const explained = new Set<EngineRef>();
 	const counts = [...new Set([...evidence.values()].map((engines) => engines.size))];
--- a/src/core/quarantine/crash-ledger.ts
+++ b/src/core/quarantine/crash-ledger.ts
@@ -6,10 +6,10 @@
 import type { Clock } from '../definitions.js';
 import type { EngineRef } from '../fleet/types.js';
 import type { ContentHash } from './content-hash.js';
-import type { CrashNews, CrashRow } from './types.js';
+import type { CrashGossip, CrashReport } from './types.js';
 
 /** The ledger forgets after so long, in milliseconds: as long as the longest lease under which the store keeps a content. */
-export const keptMs = 600_000;
+export const crashRetentionMs = 600_000;
 /**
  * A break counts when its engine is known to have ended within this time, in milliseconds: a registration lapses after three
  * heartbeats of 1,200 ms, and an outage of the store may hide it for some seconds more.
@@ -43,16 +43,16 @@
 	/** Records were added or cleared, here or by a peer. */
 	onChanged: () => void;
 	/** This VM itself found it out, so nobody else tells. */
-	onOwn: () => void;
+	onLocalChange: () => void;
 }
 
-export class CrashLedger implements CrashNews {
+export class CrashLedger implements CrashGossip {
 	private readonly records = new Map<ContentHash, Map<EngineRef, CrashRecord>>();
 	/** Engines that ended, and when this VM learned of it. */
 	private readonly ended = new Map<EngineRef, number>();
 	private breaks: Break[] = [];
 	/** What is new, with the time until which it is told. */
-	private fresh: { row: CrashRow; until: number }[] = [];
+	private fresh: { row: CrashReport; until: number }[] = [];
 	private lasting: ReadonlySet<ContentHash> = new Set();
 	private lastingToldAt = Number.NEGATIVE_INFINITY;
 	/** Contents for which this VM itself saw an engine end. */
@@ -61,12 +61,12 @@
 	constructor(private readonly opts: CrashLedgerOptions) {}
 
 	/** Contents that broke at any engine. */
-	contents(): Iterable<ContentHash> {
+	listContents(): Iterable<ContentHash> {
 		return [...this.records.keys(), ...this.breaks.map(({ content }) => content)];
 	}
 
 	/** Whether this VM itself saw an engine end under the content. */
-	isOwn(content: ContentHash): boolean {
+	isLocallyObserved(content: ContentHash): boolean {
 		return this.own.has(content);
 	}
 
@@ -83,7 +83,7 @@
 	}
 
 	/** Engines that broke off this content, whether or not it is known that they ended. */
-	breaksOf(content: ContentHash): number {
+	countFailedEngines(content: ContentHash): number {
 		const engines = new Set<EngineRef>();
 		for (const [engine, record] of this.records.get(content) ?? []) {
 			if (!record.isCleared) {
@@ -98,12 +98,12 @@
 		return engines.size;
 	}
 
-	hasEnded(engine: EngineRef): boolean {
+	hasCrashed(engine: EngineRef): boolean {
 		return this.ended.has(engine);
 	}
 
 	/** An engine broke off a request of this VM. */
-	broke(content: ContentHash, engine: EngineRef): void {
+	recordFailure(content: ContentHash, engine: EngineRef): void {
 		if (this.ended.has(engine)) {
 			this.addOwn([{ content, engine }]);
 		} else {
@@ -113,7 +113,7 @@
 	}
 
 	/** Nothing listens at the engine's address any more, or its registration ended without notice. */
-	engineEnded(engine: EngineRef): void {
+	recordEngineCrash(engine: EngineRef): void {
 		if (!this.ended.has(engine)) {
 			this.tell({ engine, isCleared: false });
 		}
@@ -124,22 +124,22 @@
 	}
 
 	/** An engine served the content to its end. */
-	served(content: ContentHash): void {
+	recordSuccess(content: ContentHash): void {
 		this.breaks = this.breaks.filter((one) => one.content !== content);
 		const engines = [...(this.records.get(content)?.keys() ?? [])];
 		const changed = engines.filter((engine) => this.record(content, engine, true));
 		if (changed.length > 0) {
 			this.opts.onChanged();
-			this.opts.onOwn();
+			this.opts.onLocalChange();
 		}
 	}
 
 	/** These contents are told as long as they are kept, so that a VM that starts hears of them. */
-	keepTelling(contents: ReadonlySet<ContentHash>): void {
+	setRepeatedContents(contents: ReadonlySet<ContentHash>): void {
 		this.lasting = contents;
 	}
 
-	rowsToTell(): CrashRow[] {
+	getReportsToSend(): CrashReport[] {
 		if (this.fresh.length === 0 && this.lasting.size === 0) {
 			return [];
 		}
@@ -151,12 +151,12 @@
 		return [...rows, ...this.lastingRows(rowsEach - rows.length)];
 	}
 
-	take(rows: readonly CrashRow[]): boolean {
+	merge(rows: readonly CrashReport[]): boolean {
 		let isNew = false;
 		for (const { content, engine, isCleared } of rows) {
 			if (content === undefined) {
 				isNew ||= !this.ended.has(engine);
-				this.engineEnded(engine);
+				this.recordEngineCrash(engine);
 			} else if (this.record(content, engine, isCleared)) {
 				isNew = true;
 			}
@@ -179,7 +179,7 @@
 		let isChanged = false;
 		for (const [content, engines] of this.records) {
 			const newest = Math.max(...[...engines.values()].map(({ learnedAt }) => learnedAt));
-			if (now - newest >= keptMs) {
+			if (now - newest >= crashRetentionMs) {
 				isChanged = this.records.delete(content);
 				this.own.delete(content);
 			}
@@ -193,7 +193,7 @@
 		return this.opts.clock.monotonic();
 	}
 
-	private lastingRows(most: number): CrashRow[] {
+	private lastingRows(most: number): CrashReport[] {
 		const { now } = this;
 		if (now - this.lastingToldAt < lastingMs) {
 			return [];
@@ -213,7 +213,7 @@
 		}
 		if (added.length > 0) {
 			this.opts.onChanged();
-			this.opts.onOwn();
+			this.opts.onLocalChange();
 		}
 	}
 
@@ -245,7 +245,7 @@
 		}
 	}
 
-	private tell(row: CrashRow): void {
+	private tell(row: CrashReport): void {
 		this.fresh.unshift({ row, until: this.now + tellMs });
 	}
 }
--- a/src/core/quarantine/quarantine-records.ts
+++ b/src/core/quarantine/quarantine-records.ts
@@ -7,8 +7,8 @@
 import type { Store } from '../store/definitions.js';
 import { StoreError } from '../store/definitions.js';
 import type { ContentHash } from './content-hash.js';
-import { nameOf } from './content-hash.js';
-import { keptMs } from './crash-ledger.js';
+import { formatContentHash } from './content-hash.js';
+import { crashRetentionMs } from './crash-ledger.js';
 import type { Quarantine } from './quarantine.js';
 
 /** Least time between two calls that read, and from a failed call to the next, in milliseconds. */
@@ -31,11 +31,11 @@
 	prefix: string;
 	quarantine: Quarantine;
 	/** Whether VMs are registered that this one does not hear. */
-	missesPeers: () => boolean;
+	hasUnreachablePeers: () => boolean;
 	/** Whether the store is not heard of to answer: then it is not asked for this either, but once at the start. */
-	isStoreAway: () => boolean;
+	isStoreUnavailable: () => boolean;
 	/** What the store holds was read for the first time. */
-	onRead: () => void;
+	onFirstRead: () => void;
 }
 
 export class QuarantineRecords {
@@ -61,7 +61,7 @@
 	 * Whether requests may be taken: before it was read, a VM that has just started would send what the fleet keeps from
 	 * engines. A store that does not answer is not waited for longer.
 	 */
-	get isKnown(): boolean {
+	get isReady(): boolean {
 		return this.wasRead || this.now - this.startedAt > awaitedMs;
 	}
 
@@ -75,7 +75,7 @@
 	async update(): Promise<void> {
 		this.noteOwn();
 		const { now } = this;
-		const isAway = this.wasAsked && this.opts.isStoreAway();
+		const isAway = this.wasAsked && this.opts.isStoreUnavailable();
 		if (this.isBusy || now < this.nextAt || isAway) {
 			return;
 		}
@@ -95,7 +95,7 @@
 	}
 
 	/** The store came back from an older copy: what this VM wrote and took back there is written and taken back again. */
-	restored(): void {
+	handleStoreRestored(): void {
 		for (const content of this.written.keys()) {
 			this.unwritten.set(content, this.now);
 		}
@@ -112,12 +112,12 @@
 
 	/** What other VMs found out they write themselves. */
 	private noteOwn(): void {
-		const { quarantine, missesPeers } = this.opts;
-		if (quarantine.takeOwnNews()) {
+		const { quarantine, hasUnreachablePeers: missesPeers } = this.opts;
+		if (quarantine.consumeLocalChange()) {
 			this.mustRead ||= missesPeers() || this.now - this.startedAt < youngMs;
 		}
 		for (const content of quarantine.contents) {
-			const isMine = quarantine.ledger.isOwn(content) && !this.written.has(content);
+			const isMine = quarantine.ledger.isLocallyObserved(content) && !this.written.has(content);
 			if (isMine && !this.unwritten.has(content)) {
 				this.unwritten.set(content, this.now);
 			}
@@ -133,13 +133,13 @@
 			return;
 		}
 		for (const [content, lease] of this.written) {
-			if (!quarantine.holds(content)) {
+			if (!quarantine.isQuarantined(content)) {
 				await this.withdraw(content, lease);
 				return;
 			}
 		}
 		for (const [content, since] of this.unwritten) {
-			if (!quarantine.holds(content)) {
+			if (!quarantine.isQuarantined(content)) {
 				this.unwritten.delete(content);
 			} else if (now - since >= settleMs) {
 				await this.write(content);
@@ -156,19 +156,19 @@
 		const isFirst = !this.wasRead;
 		this.wasRead = true;
 		this.mustRead = false;
-		this.opts.quarantine.takeRecorded(contents);
+		this.opts.quarantine.applyStored(contents);
 		if (isFirst) {
-			this.opts.onRead();
+			this.opts.onFirstRead();
 		}
 	}
 
 	private async write(content: ContentHash): Promise<void> {
 		const { store, prefix, log } = this.opts;
-		const lease = await store.grantLease(keptMs);
-		await store.put(prefix + nameOf(content), 'engines ended under it', lease);
+		const lease = await store.grantLease(crashRetentionMs);
+		await store.put(prefix + formatContentHash(content), 'engines ended under it', lease);
 		this.unwritten.delete(content);
 		this.written.set(content, lease);
-		log.info('quarantine.recorded', { content: nameOf(content) });
+		log.info('quarantine.recorded', { content: formatContentHash(content) });
 	}
 
 	/** It was served after all. */
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -7,9 +7,9 @@
 import type { EngineRef } from '../fleet/types.js';
 import type { CallerRequest } from '../relay/definitions.js';
 import type { ContentHash, HeadHash } from './content-hash.js';
-import { contentOf, headIn, headOf, nameOf } from './content-hash.js';
-import { causesOf } from './crash-causes.js';
-import { CrashLedger, keptMs } from './crash-ledger.js';
+import { extractHeadHash, formatContentHash, hashContent, hashHead } from './content-hash.js';
+import { findCrashCauses } from './crash-causes.js';
+import { CrashLedger, crashRetentionMs } from './crash-ledger.js';
 
 /** A request whose content two engines broke off is not sent on by the VM itself: if its caller asks again, it is looked at anew. */
 const breaksToStop = 2;
@@ -20,7 +20,7 @@
 	/** Peers should hear of it soon. */
 	onNews: () => void;
 	/** Whether it is certain that nothing listens at an engine's address. */
-	isDeserted: (address: string) => Promise<boolean>;
+	isPortClosed: (address: string) => Promise<boolean>;
 }
 
 /** Why a request is kept from engines. */
@@ -46,7 +46,7 @@
 		this.ledger = new CrashLedger({
 			clock: opts.clock,
 			onChanged: () => this.workOut(),
-			onOwn: () => {
+			onLocalChange: () => {
 				this.hasOwnNews = true;
 				opts.onNews();
 			},
@@ -64,64 +64,69 @@
 	}
 
 	/** Whether the content of a request may be one that broke before; cheap, so that other bodies are not read. */
-	mayKnow(req: CallerRequest, customer: string | undefined): boolean {
-		return this.heads.size > 0 && this.heads.has(headOf(req, customer));
+	hasMatchingHead(req: CallerRequest, customer: string | undefined): boolean {
+		return this.heads.size > 0 && this.heads.has(hashHead(req, customer));
 	}
 
 	/** Why a request is kept from engines; undefined when it is not. */
-	refusal(req: CallerRequest, customer: string | undefined): QuarantineRefusal | undefined {
-		if (!this.mayKnow(req, customer)) {
+	getRefusal(req: CallerRequest, customer: string | undefined): QuarantineRefusal | undefined {
+		if (!this.hasMatchingHead(req, customer)) {
 			return undefined;
 		}
-		const content = contentOf(req, customer);
-		return this.holds(content) ? { content, retryAfterS: keptMs / 1000 } : undefined;
+		const content = hashContent(req, customer);
+		return this.isQuarantined(content)
+			? { content, retryAfterS: crashRetentionMs / 1000 }
+			: undefined;
 	}
 
-	holds(content: ContentHash): boolean {
+	isQuarantined(content: ContentHash): boolean {
 		return this.causes.has(content) || this.recorded.has(content);
 	}
 
 	/** Whether the VM may send it to a further engine by itself. */
-	mayGoOn(content: ContentHash): boolean {
-		return !this.holds(content) && this.ledger.breaksOf(content) < breaksToStop;
+	isRetryAllowed(content: ContentHash): boolean {
+		return !this.isQuarantined(content) && this.ledger.countFailedEngines(content) < breaksToStop;
 	}
 
 	/** The content was served to its end, so it crashes nothing. */
-	served(content: ContentHash): void {
+	recordSuccess(content: ContentHash): void {
 		this.recorded.delete(content);
-		this.ledger.served(content);
+		this.ledger.recordSuccess(content);
 	}
 
 	/**
 	 * An engine broke off the content. One connection then tells whether it ended: its registration takes seconds to lapse, in
 	 * which the content would come again.
 	 */
-	broke(content: ContentHash, engine: Engine): void {
-		this.ledger.broke(content, engine.ref);
-		if (!this.ledger.hasEnded(engine.ref) && !this.asked.has(engine.ref)) {
+	recordFailure(content: ContentHash, engine: Engine): void {
+		this.ledger.recordFailure(content, engine.ref);
+		if (!this.ledger.hasCrashed(engine.ref) && !this.asked.has(engine.ref)) {
 			this.asked.add(engine.ref);
 			void this.ask(engine);
 		}
 	}
 
-	engineEnded(engine: EngineRef): void {
-		this.ledger.engineEnded(engine);
+	recordEngineCrash(engine: EngineRef): void {
+		this.ledger.recordEngineCrash(engine);
 	}
 
 	private async ask({ ref, entry }: Engine): Promise<void> {
-		const isDeserted = await this.opts.isDeserted(entry.address);
+		const isDeserted = await this.opts.isPortClosed(entry.address);
 		this.asked.delete(ref);
 		if (isDeserted) {
-			this.ledger.engineEnded(ref);
+			this.ledger.recordEngineCrash(ref);
 		}
 	}
 
 	/** The store names contents that VMs keep from engines. */
-	takeRecorded(contents: readonly ContentHash[]): void {
-		const until = this.opts.clock.monotonic() + keptMs;
+	applyStored(contents: readonly ContentHash[]): void {
+		const until = this.opts.clock.monotonic() + crashRetentionMs;
 		for (const content of contents) {
-			if (!this.holds(content)) {
-				this.opts.log.warn('quarantine.entered', { content: nameOf(content), source: 'store' });
+			if (!this.isQuarantined(content)) {
+				this.opts.log.warn('quarantine.entered', {
+					content: formatContentHash(content),
+					source: 'store',
+				});
 			}
 			this.recorded.set(content, until);
 		}
@@ -129,7 +134,7 @@
 	}
 
 	/** Whether this VM itself saw an engine end under a request since the last call. */
-	takeOwnNews(): boolean {
+	consumeLocalChange(): boolean {
 		const has = this.hasOwnNews;
 		this.hasOwnNews = false;
 		return has;
@@ -149,20 +154,20 @@
 	private workOut(): void {
 		const before = this.causes;
 		const { evidence } = this.ledger;
-		this.causes = causesOf(evidence);
-		this.ledger.keepTelling(this.causes);
-		const known = [...this.ledger.contents(), ...this.recorded.keys()];
-		this.heads = new Set(known.map(headIn));
+		this.causes = findCrashCauses(evidence);
+		this.ledger.setRepeatedContents(this.causes);
+		const known = [...this.ledger.listContents(), ...this.recorded.keys()];
+		this.heads = new Set(known.map(extractHeadHash));
 		for (const content of this.causes) {
 			if (!before.has(content)) {
 				const engines = evidence.get(content)?.size;
-				const fields = { content: nameOf(content), engines, source: 'news' };
+				const fields = { content: formatContentHash(content), engines, source: 'news' };
 				this.opts.log.warn('quarantine.entered', fields);
 			}
 		}
 		for (const content of before) {
 			if (!this.causes.has(content)) {
-				this.opts.log.warn('quarantine.left', { content: nameOf(content) });
+				this.opts.log.warn('quarantine.left', { content: formatContentHash(content) });
 			}
 		}
 	}
--- a/src/core/quarantine/request-suspicion.ts
+++ b/src/core/quarantine/request-quarantine.ts
@@ -5,7 +5,7 @@
 import type { Attempt } from '../relay/attempt.js';
 import type { CallerRequest } from '../relay/definitions.js';
 import type { ContentHash } from './content-hash.js';
-import { contentOf } from './content-hash.js';
+import { hashContent } from './content-hash.js';
 import type { Quarantine } from './quarantine.js';
 
 /**
@@ -14,7 +14,7 @@
  */
 const harmlessMs = 500;
 
-export class RequestSuspicion {
+export class RequestQuarantine {
 	private hash?: ContentHash;
 
 	constructor(
@@ -24,34 +24,34 @@
 	) {}
 
 	get content(): ContentHash {
-		this.hash ??= contentOf(this.req, this.customer);
+		this.hash ??= hashContent(this.req, this.customer);
 		return this.hash;
 	}
 
 	/** Whether the VM may send it to a further engine by itself. */
-	get mayGoOn(): boolean {
-		return !this.mayBeKnown || this.quarantine.mayGoOn(this.content);
+	get isRetryAllowed(): boolean {
+		return !this.mayBeKnown || this.quarantine.isRetryAllowed(this.content);
 	}
 
 	/**
 	 * The attempt's engine broke it off, or fell silent under it. An engine that leaves ends as planned, whatever runs there: the
 	 * content that ran on three such engines was kept from all engines for ten minutes.
 	 */
-	broke(attempt: Attempt): void {
+	recordFailure(attempt: Attempt): void {
 		const { runningMs, engine } = attempt;
 		const isShort = runningMs === undefined || runningMs < harmlessMs;
 		if (isShort && !engine.isLeaving) {
-			this.quarantine.broke(this.content, attempt.engine);
+			this.quarantine.recordFailure(this.content, attempt.engine);
 		}
 	}
 
-	served(): void {
+	recordSuccess(): void {
 		if (this.mayBeKnown) {
-			this.quarantine.served(this.content);
+			this.quarantine.recordSuccess(this.content);
 		}
 	}
 
 	private get mayBeKnown(): boolean {
-		return this.quarantine.mayKnow(this.req, this.customer);
+		return this.quarantine.hasMatchingHead(this.req, this.customer);
 	}
 }
--- a/src/core/quarantine/types.ts
+++ b/src/core/quarantine/types.ts
@@ -6,7 +6,7 @@
 import type { ContentHash } from './content-hash.js';
 
 /** An engine ended, or a request was at it when it did. */
-export interface CrashRow {
+export interface CrashReport {
 	/** One start of an engine. */
 	engine: EngineRef;
 	/** What the request asked; undefined when the row tells only that the engine ended. */
@@ -16,9 +16,9 @@
 }
 
 /** The ledger as the news between VMs need it. */
-export interface CrashNews {
+export interface CrashGossip {
 	/** Rows that the next news should tell. */
-	rowsToTell(): CrashRow[];
+	getReportsToSend(): CrashReport[];
 	/** @returns whether any of them was new */
-	take(rows: readonly CrashRow[]): boolean;
+	merge(rows: readonly CrashReport[]): boolean;
 }
--- a/src/core/relay/answer-notice.ts
+++ b/src/core/relay/answer-notice.ts
@@ -46,8 +46,8 @@
 ): void {
 	const { limitPerS } = head.notice;
 	if (limitPerS !== undefined) {
-		limits.ledger.named(engine.ref, limitPerS);
+		limits.ledger.recordLimit(engine.ref, limitPerS);
 	} else if (head.status < 300 && head.signed && head.id === requestId) {
-		limits.ledger.notNamed(engine.ref, sentAt);
+		limits.ledger.recordNoLimit(engine.ref, sentAt);
 	}
 }
--- a/src/core/relay/engine-failures.ts
+++ b/src/core/relay/engine-failures.ts
@@ -2,8 +2,8 @@
  * What failed attempts of one request say of their engines: their health, and whether the request itself may have ended them.
  * @module
  */
-import { nameOf } from '../quarantine/content-hash.js';
-import type { RequestSuspicion } from '../quarantine/request-suspicion.js';
+import { formatContentHash } from '../quarantine/content-hash.js';
+import type { RequestQuarantine } from '../quarantine/request-quarantine.js';
 import type { Attempt } from './attempt.js';
 import type { RequestOutcome } from './request-outcome.js';
 import type { RelayContext } from './types.js';
@@ -12,7 +12,7 @@
 	constructor(
 		private readonly ctx: RelayContext,
 		private readonly outcome: RequestOutcome,
-		private readonly suspicion: RequestSuspicion,
+		private readonly suspicion: RequestQuarantine,
 	) {}
 
 	/** The engine had the request and did not answer it as it should. */
@@ -39,17 +39,17 @@
 
 	/** Nothing listens at its address, or another engine does. */
 	ended({ engine }: Attempt): void {
-		this.ctx.quarantine.engineEnded(engine.ref);
+		this.ctx.quarantine.recordEngineCrash(engine.ref);
 	}
 
 	/** The engine may have ended under this request. */
 	brokeUnder(attempt: Attempt, reason: string): void {
-		this.suspicion.broke(attempt);
+		this.suspicion.recordFailure(attempt);
 		const { sentMs, runningMs } = attempt;
 		this.outcome.log('request.broken', {
 			engine: attempt.engine.id,
 			reason,
-			content: nameOf(this.suspicion.content),
+			content: formatContentHash(this.suspicion.content),
 			sent_ms: Math.round(sentMs),
 			running_ms: runningMs === undefined ? undefined : Math.round(runningMs),
 		});
--- a/src/core/relay/placement-log.ts
+++ b/src/core/relay/placement-log.ts
@@ -38,7 +38,7 @@
 		peers: ctx.fleet.size - 1,
 		left_ms: Math.round(leftMs),
 		last_event: lastEventId,
-		limit_per_s: ctx.limits.ledger.perS(engine.ref),
+		limit_per_s: ctx.limits.ledger.getLimitPerS(engine.ref),
 		customer: terms.customer?.name,
 		urgency: terms.urgency,
 		configuration: terms.configurationVersion,
--- a/src/core/relay/relay.ts
+++ b/src/core/relay/relay.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import type { Random } from '../definitions.js';
-import { nameOf } from '../quarantine/content-hash.js';
+import { formatContentHash } from '../quarantine/content-hash.js';
 import { RouteTable } from '../routing/route-table.js';
 import type { Customer, Route } from '../routing/types.js';
 import type { CallerRequest, CallerResponse } from './definitions.js';
@@ -129,13 +129,17 @@
 		res: CallerResponse,
 		customer: Customer | undefined,
 	): boolean {
-		const refusal = this.opts.quarantine.refusal(req, customer?.name);
+		const refusal = this.opts.quarantine.getRefusal(req, customer?.name);
 		if (!refusal) {
 			return false;
 		}
 		const { content, retryAfterS } = refusal;
 		this.opts.metrics.denied(503);
-		const fields = { request: req.id, customer: customer?.name, content: nameOf(content) };
+		const fields = {
+			request: req.id,
+			customer: customer?.name,
+			content: formatContentHash(content),
+		};
 		this.opts.log.warn('request.quarantined', fields);
 		this.tell(res, 503, 'engines crashed as they ran this request; it has not run', retryAfterS);
 		return true;
--- a/src/core/relay/relayed-request.ts
+++ b/src/core/relay/relayed-request.ts
@@ -4,7 +4,7 @@
  */
 
 import type { Placement } from '../engines/placement-types.js';
-import { RequestSuspicion } from '../quarantine/request-suspicion.js';
+import { RequestQuarantine } from '../quarantine/request-quarantine.js';
 import type { Route } from '../routing/types.js';
 import { repeatabilities } from '../routing/types.js';
 import { takeNotice } from './answer-notice.js';
@@ -31,7 +31,7 @@
 	private unreachable = 0;
 	private readonly answer: CallerAnswer;
 	private readonly outcome: RequestOutcome;
-	private readonly suspicion: RequestSuspicion;
+	private readonly suspicion: RequestQuarantine;
 	private readonly relayed: AnswerRelay;
 	private readonly failures: EngineFailures;
 	private readonly timer: NodeJS.Timeout;
@@ -45,7 +45,7 @@
 		const { req, route } = terms;
 		const heldMs = Math.min(req.deadlineMs ?? route.timeoutMs, route.timeoutMs);
 		this.deadlineAt = req.arrivedAt + heldMs;
-		this.suspicion = new RequestSuspicion(ctx.quarantine, req, terms.customer?.name);
+		this.suspicion = new RequestQuarantine(ctx.quarantine, req, terms.customer?.name);
 		this.timer = setTimeout(() => this.expired(), Math.max(1, this.leftMs));
 		this.answer = new CallerAnswer(res, ctx.clock, () => this.attempt?.call?.resume());
 		this.outcome = new RequestOutcome(ctx, terms, this.answer, (outcome) => {
@@ -222,7 +222,7 @@
 			this.broke(attempt, 'the stream ended inside an event');
 		} else {
 			this.failures.served(attempt);
-			this.suspicion.served();
+			this.suspicion.recordSuccess();
 			attempt.streamEnded(this.terms.req.answerTokens);
 			this.endAttempt(attempt);
 			this.relayed.end(attempt, head);
@@ -330,7 +330,7 @@
 	private mayTryAgain(now: number): boolean {
 		const { service, route } = this.terms;
 		const hasTries = this.outcome.sentTo.size < route.maxEngines;
-		return hasTries && this.ctx.budget.left(service, now) >= 1 && this.suspicion.mayGoOn;
+		return hasTries && this.ctx.budget.left(service, now) >= 1 && this.suspicion.isRetryAllowed;
 	}
 
 	private isStream(attempt: Attempt): boolean {
--- a/src/core/relay/request-placement.ts
+++ b/src/core/relay/request-placement.ts
@@ -4,7 +4,7 @@
  */
 import type { Engine } from '../engines/engine.js';
 import type { Placement } from '../engines/placement-types.js';
-import type { PermitCall, PermitResult } from '../limits/engine-permits.js';
+import type { PermitRequestHandle, PermitResult } from '../limits/permit-client.js';
 import type { RequestOutcome } from './request-outcome.js';
 import type { RelayContext, RequestTerms } from './types.js';
 
@@ -31,7 +31,7 @@
 export class RequestPlacement {
 	private readonly tried = new Set<string>();
 	/** The last ask for a permit. */
-	private call?: PermitCall;
+	private call?: PermitRequestHandle;
 	/** The request has ended: a permit that comes after all is not used. */
 	private isOver = false;
 	private asks = 0;
@@ -99,7 +99,7 @@
 		this.opts.outcome.log('request.withdrawn', {
 			engine: engine.id,
 			rest_ms: Math.round(this.restMs(engine)),
-			limit_per_s: this.opts.ctx.limits.ledger.perS(engine.ref),
+			limit_per_s: this.opts.ctx.limits.ledger.getLimitPerS(engine.ref),
 		});
 		this.tried.delete(engine.id);
 		this.permitted = undefined;
@@ -123,14 +123,17 @@
 	}
 
 	private isLimited({ ref }: Engine): boolean {
-		return this.opts.ctx.limits.ledger.perS(ref) !== undefined;
+		return this.opts.ctx.limits.ledger.getLimitPerS(ref) !== undefined;
 	}
 
 	private admits(engine: Engine, engines: readonly Engine[]): boolean {
 		if (!this.isLimited(engine)) {
 			return true;
 		}
-		const closedMs = this.opts.ctx.limits.permits.closedMs(engine.ref, this.opts.terms.urgency);
+		const closedMs = this.opts.ctx.limits.permits.getRetryDelayMs(
+			engine.ref,
+			this.opts.terms.urgency,
+		);
 		return this.asks < mostAsks && closedMs <= this.waitMs(engines);
 	}
 
@@ -151,14 +154,14 @@
 		this.asks++;
 		this.waitedFrom ??= this.now;
 		// A denial may come before the call returns, and the next ask with it: that one's call would be lost here.
-		this.call = ctx.limits.permits.ask(engine.ref, terms.urgency, waitMs, (result) => {
+		this.call = ctx.limits.permits.request(engine.ref, terms.urgency, waitMs, (result) => {
 			if (this.isOver) {
 				return;
 			}
 			if (result.isGranted) {
 				this.permitted = engine;
 				this.tried.add(engine.id);
-				ctx.limits.returns(terms.service).letThrough(this.now);
+				ctx.limits.getRetrySchedule(terms.service).recordAdmission(this.now);
 				onPlaced(placement);
 			} else {
 				this.denied(engine, result);
@@ -181,7 +184,9 @@
 			return this.restLeftS;
 		}
 		const { permits } = ctx.limits;
-		const openMs = engines.map(({ ref }) => permits.closedMs(ref, terms.urgency));
-		return ctx.limits.returns(terms.service).nextS(this.now, Math.min(...openMs));
+		const openMs = engines.map(({ ref }) => permits.getRetryDelayMs(ref, terms.urgency));
+		return ctx.limits
+			.getRetrySchedule(terms.service)
+			.assignRetryAfterS(this.now, Math.min(...openMs));
 	}
 }
--- a/src/core/relay/types.ts
+++ b/src/core/relay/types.ts
@@ -22,7 +22,7 @@
 }
 
 /** What requests need of the limits that engines name. */
-export type RequestLimits = Pick<FleetLimits, 'ledger' | 'permits' | 'returns'>;
+export type RequestLimits = Pick<FleetLimits, 'ledger' | 'permits' | 'getRetrySchedule'>;
 
 /** What all requests of a VM share. */
 export interface RelayContext {
--- a/src/daemon/relay/fleet-duties.ts
+++ b/src/daemon/relay/fleet-duties.ts
@@ -236,7 +236,7 @@
 	private limitedEngines(service: string): number {
 		const { engines, limits } = this.opts;
 		const limited = [...engines.all()].filter(({ entry, ref }) => {
-			return entry.service === service && limits.perS(ref) !== undefined;
+			return entry.service === service && limits.getLimitPerS(ref) !== undefined;
 		});
 		return limited.length;
 	}
--- a/src/daemon/relay/fleet-links.ts
+++ b/src/daemon/relay/fleet-links.ts
@@ -117,8 +117,8 @@
 			enginesRevision: () => engines.revision,
 			onUsage: (usage) => duties()?.receiveUsage(usage),
 			onUsageTaken: (taken) => duties()?.receiveTaken(taken),
-			onPermitAsk: (ask) => limits.asked(ask),
-			onPermitAnswer: (answer) => limits.answered(answer),
+			onPermitAsk: (ask) => limits.handlePermitRequest(ask),
+			onPermitAnswer: (answer) => limits.handlePermitResponse(answer),
 		});
 	}
 
--- a/src/daemon/relay/limit-exchange.ts
+++ b/src/daemon/relay/limit-exchange.ts
@@ -8,7 +8,7 @@
 import type { EngineRef } from '../../core/fleet/types.js';
 import { FleetLimits } from '../../core/limits/fleet-limits.js';
 import { issuerRank } from '../../core/limits/issuer-election.js';
-import type { PermitAnswer, PermitAsk } from '../../core/limits/types.js';
+import type { PermitRequest, PermitResponse } from '../../core/limits/types.js';
 import type { HostPort } from '../../core/relay/settings.js';
 import { DueTimer } from './due-timer.js';
 
@@ -27,8 +27,8 @@
 	heardVms: () => number;
 	/** VMs of the fleet, silent ones included; undefined while not known. */
 	vms: () => number | undefined;
-	sendAsk: (to: HostPort, ask: PermitAsk) => void;
-	sendAnswer: (to: HostPort, answer: PermitAnswer) => void;
+	sendAsk: (to: HostPort, ask: PermitRequest) => void;
+	sendAnswer: (to: HostPort, answer: PermitResponse) => void;
 	/** Other VMs should hear of something. */
 	onNews: () => void;
 }
@@ -41,11 +41,11 @@
 		const { self, listed, sendAsk, sendAnswer, ...ports } = opts;
 		this.limits = new FleetLimits({
 			...ports,
-			self: addressOf(self.address),
-			rank: (without) => issuerRank(self, listed(), without),
-			sendAsk: (to, ask) => sendAsk(parseAddress(to), ask),
-			sendAnswer: (to, answer) => sendAnswer(parseAddress(to), answer),
-			onDue: () => this.timer.arm(),
+			ownAddress: addressOf(self.address),
+			getRank: (without) => issuerRank(self, listed(), without),
+			sendPermitRequest: (to, ask) => sendAsk(parseAddress(to), ask),
+			sendPermitResponse: (to, answer) => sendAnswer(parseAddress(to), answer),
+			onDueChanged: () => this.timer.arm(),
 		});
 		const { limits } = this;
 		const run = () => limits.run();
--- a/src/daemon/relay/peer-exchange.ts
+++ b/src/daemon/relay/peer-exchange.ts
@@ -11,7 +11,7 @@
 import type { FleetView } from '../../core/fleet/fleet-view.js';
 import { NewsExchange } from '../../core/fleet/news-exchange.js';
 import type { PeerNews } from '../../core/fleet/types.js';
-import type { PermitAnswer, PermitAsk } from '../../core/limits/types.js';
+import type { PermitRequest, PermitResponse } from '../../core/limits/types.js';
 import type { HostPort } from '../../core/relay/settings.js';
 import { PeerDatagrams } from '../../infra/relay/peer-datagrams.js';
 import { PeerTransfers } from '../../infra/relay/peer-transfers.js';
@@ -42,8 +42,8 @@
 	onUsage: (usage: UsageCounts) => void;
 	onUsageTaken: (taken: UsageAck) => void;
 	/** A VM asks for a permit, or answers an ask of this VM. */
-	onPermitAsk: (ask: PermitAsk) => void;
-	onPermitAnswer: (answer: PermitAnswer) => void;
+	onPermitAsk: (ask: PermitRequest) => void;
+	onPermitAnswer: (answer: PermitResponse) => void;
 }
 
 export class PeerExchange {
@@ -105,11 +105,11 @@
 		this.datagrams.sendUsageTaken(to, taken);
 	}
 
-	sendPermitAsk(to: HostPort, ask: PermitAsk): void {
+	sendPermitAsk(to: HostPort, ask: PermitRequest): void {
 		this.datagrams.sendPermitAsk(to, ask);
 	}
 
-	sendPermitAnswer(to: HostPort, answer: PermitAnswer): void {
+	sendPermitAnswer(to: HostPort, answer: PermitResponse): void {
 		this.datagrams.sendPermitAnswer(to, answer);
 	}
 
--- a/src/daemon/relay/relay-daemon.ts
+++ b/src/daemon/relay/relay-daemon.ts
@@ -89,7 +89,7 @@
 			clock,
 			log,
 			onNews: () => this.links.peers.changed(),
-			isDeserted: (address) => transport.isDeserted(address),
+			isPortClosed: (address) => transport.isDeserted(address),
 		});
 		this.engines = new EngineDirectory({
 			clock,
@@ -99,9 +99,9 @@
 			onAddressGone: (address) => transport.forget(address),
 			onGone: (engine) => {
 				this.links.fleet.engineGone(engine.key);
-				this.links.limits.permits.forget(engine.ref);
+				this.links.limits.permits.removeEngine(engine.ref);
 				if (!engine.isLeaving) {
-					this.quarantine.engineEnded(engine.ref);
+					this.quarantine.recordEngineCrash(engine.ref);
 				}
 			},
 			onChanged: () => this.reading.changed(),
@@ -130,9 +130,9 @@
 			log,
 			prefix: platform.keys.quarantine,
 			quarantine: this.quarantine,
-			missesPeers: () => fleet.size < (registry.size ?? 0),
-			isStoreAway: () => !this.reading.isUpToDate,
-			onRead: () => this.startHold.release(),
+			hasUnreachablePeers: () => fleet.size < (registry.size ?? 0),
+			isStoreUnavailable: () => !this.reading.isUpToDate,
+			onFirstRead: () => this.startHold.release(),
 		});
 		this.configuration = new ConfigurationState({
 			log,
@@ -377,7 +377,7 @@
 	/** Requests can be placed. */
 	private get knowsEnough(): boolean {
 		const isConfigured = this.configuration.table !== undefined && this.engines.isKnown;
-		return isConfigured && this.quarantineRecords.isKnown;
+		return isConfigured && this.quarantineRecords.isReady;
 	}
 }
 
--- a/src/daemon/relay/store-restoration.ts
+++ b/src/daemon/relay/store-restoration.ts
@@ -56,7 +56,7 @@
 		this.opts.onRestored();
 		duties?.restored();
 		registry.restored();
-		quarantineRecords.restored();
+		quarantineRecords.handleStoreRestored();
 		reading.restored();
 	}
 }
--- a/src/infra/relay/limit-codec.ts
+++ b/src/infra/relay/limit-codec.ts
@@ -5,7 +5,7 @@
 import * as net from 'node:net';
 import * as msgpack from '@msgpack/msgpack';
 import { parseAddress } from '../../core/fleet/aggregator-selection.js';
-import type { LimitWord, PermitAnswer, PermitAsk } from '../../core/limits/types.js';
+import type { LimitUpdate, PermitRequest, PermitResponse } from '../../core/limits/types.js';
 import { urgencyLevels } from '../../core/relay/definitions.js';
 import { messageFormat, messageTypes } from './message-types.js';
 import type { RowReader } from './row-reader.js';
@@ -19,18 +19,24 @@
 /** In place of requests a second: the engine names no limit. */
 const noLimit = -1;
 
-export function packLimit({ engine, perS, version }: LimitWord): number[] {
+export function packLimit({ engine, limitPerS: perS, version }: LimitUpdate): number[] {
 	return [engine, perS === undefined ? noLimit : toThousandths(perS), version];
 }
 
 /** @throws RowError when the row is no word on a limit */
-export function readLimit(row: RowReader): LimitWord {
+export function readLimit(row: RowReader): LimitUpdate {
 	const engine = row.number();
 	const perS = row.thousandths();
-	return { engine, perS: perS < 0 ? undefined : perS, version: row.number() };
+	return { engine, limitPerS: perS < 0 ? undefined : perS, version: row.number() };
 }
 
-export function encodePermitAsk({ from, id, word, urgency, waitMs }: PermitAsk): Uint8Array {
+export function encodePermitAsk({
+	from,
+	id,
+	limit: word,
+	urgency,
+	waitMs,
+}: PermitRequest): Uint8Array {
 	const { permitAsk } = messageTypes;
 	return msgpack.encode([
 		messageFormat,
@@ -44,11 +50,11 @@
 }
 
 /** @throws RowError when the row behind the type is no ask, or one that cannot be answered */
-export function decodePermitAsk(row: RowReader): PermitAsk {
+export function decodePermitAsk(row: RowReader): PermitRequest {
 	const ask = {
 		from: row.text(),
 		id: row.number(),
-		word: row.one(readLimit),
+		limit: row.one(readLimit),
 		urgency: row.number(),
 		waitMs: row.number(),
 	};
@@ -66,8 +72,8 @@
 	return net.isIPv4(host) && Number.isInteger(port) && port > 0 && port <= mostPort;
 }
 
-export function encodePermitAnswer(answer: PermitAnswer): Uint8Array {
-	const { id, word, isGranted, retryAfterMs } = answer;
+export function encodePermitAnswer(answer: PermitResponse): Uint8Array {
+	const { id, limit: word, isGranted, retryAfterMs } = answer;
 	const { permitAnswer } = messageTypes;
 	return msgpack.encode([
 		messageFormat,
@@ -80,10 +86,10 @@
 }
 
 /** @throws RowError when the row behind the type is no answer */
-export function decodePermitAnswer(row: RowReader): PermitAnswer {
+export function decodePermitAnswer(row: RowReader): PermitResponse {
 	const answer = {
 		id: row.number(),
-		word: row.one(readLimit),
+		limit: row.one(readLimit),
 		isGranted: row.flag(),
 		retryAfterMs: row.number(),
 	};
--- a/src/infra/relay/news-codec.ts
+++ b/src/infra/relay/news-codec.ts
@@ -16,8 +16,8 @@
 	StoreReader,
 } from '../../core/fleet/types.js';
 import { newsKinds } from '../../core/fleet/types.js';
-import type { IssuerWord } from '../../core/limits/types.js';
-import type { CrashRow } from '../../core/quarantine/types.js';
+import type { IssuerAnnouncement } from '../../core/limits/types.js';
+import type { CrashReport } from '../../core/quarantine/types.js';
 import { packLimit, readLimit } from './limit-codec.js';
 import { messageFormat, messageTypes } from './message-types.js';
 import { RowError, type RowReader, toThousandths } from './row-reader.js';
@@ -131,12 +131,12 @@
 	return heard;
 }
 
-function packCrash({ content, engine, isCleared }: CrashRow): number[] {
+function packCrash({ content, engine, isCleared }: CrashReport): number[] {
 	return [content ?? noContent, engine, isCleared ? 1 : 0];
 }
 
-function readCrashes(fields: readonly number[]): CrashRow[] {
-	const rows: CrashRow[] = [];
+function readCrashes(fields: readonly number[]): CrashReport[] {
+	const rows: CrashReport[] = [];
 	for (let at = 0; at < fields.length; at += crashFields) {
 		const content = fields[at] ?? noContent;
 		rows.push({
@@ -191,12 +191,22 @@
 	};
 }
 
-function packIssuer({ address, term, beat, isResigned }: IssuerWord): unknown[] {
+function packIssuer({
+	address,
+	term,
+	heartbeatSeq: beat,
+	isResigned,
+}: IssuerAnnouncement): unknown[] {
 	return [address, term, beat, isResigned];
 }
 
-function readIssuer(row: RowReader): IssuerWord {
-	return { address: row.text(), term: row.number(), beat: row.number(), isResigned: row.flag() };
+function readIssuer(row: RowReader): IssuerAnnouncement {
+	return {
+		address: row.text(),
+		term: row.number(),
+		heartbeatSeq: row.number(),
+		isResigned: row.flag(),
+	};
 }
 
 /** Sums as whole numbers: the weights are fractions, the rest is large. */
--- a/src/infra/relay/peer-datagrams.ts
+++ b/src/infra/relay/peer-datagrams.ts
@@ -7,7 +7,7 @@
 import type { Log } from '../../core/definitions.js';
 import type { UsageAck, UsageCounts } from '../../core/duties/types.js';
 import type { PeerNews } from '../../core/fleet/types.js';
-import type { PermitAnswer, PermitAsk } from '../../core/limits/types.js';
+import type { PermitRequest, PermitResponse } from '../../core/limits/types.js';
 import type { HostPort } from '../../core/relay/settings.js';
 import {
 	decodePermitAnswer,
@@ -25,8 +25,8 @@
 	news(news: PeerNews): void;
 	usage(usage: UsageCounts): void;
 	usageTaken(taken: UsageAck): void;
-	permitAsk(ask: PermitAsk): void;
-	permitAnswer(answer: PermitAnswer): void;
+	permitAsk(ask: PermitRequest): void;
+	permitAnswer(answer: PermitResponse): void;
 }
 
 export class PeerDatagrams {
@@ -64,11 +64,11 @@
 		this.send([to], encodeUsageTaken(taken));
 	}
 
-	sendPermitAsk(to: HostPort, ask: PermitAsk): void {
+	sendPermitAsk(to: HostPort, ask: PermitRequest): void {
 		this.send([to], encodePermitAsk(ask));
 	}
 
-	sendPermitAnswer(to: HostPort, answer: PermitAnswer): void {
+	sendPermitAnswer(to: HostPort, answer: PermitResponse): void {
 		this.send([to], encodePermitAnswer(answer));
 	}
 
--- a/test/steps/engine-limits.steps.ts
+++ b/test/steps/engine-limits.steps.ts
@@ -6,9 +6,9 @@
 import * as cucumber from '@cucumber/cucumber';
 import { Engine } from '../../src/core/engines/engine.js';
 import { EngineNotices } from '../../src/core/engines/engine-notices.js';
-import type { PermitResult } from '../../src/core/limits/engine-permits.js';
 import { LimitLedger } from '../../src/core/limits/limit-ledger.js';
-import { ReturnSchedule } from '../../src/core/limits/return-schedule.js';
+import type { PermitResult } from '../../src/core/limits/permit-client.js';
+import { RetrySchedule } from '../../src/core/limits/retry-schedule.js';
 import { takeNotice } from '../../src/core/relay/answer-notice.js';
 import type { Attempt } from '../../src/core/relay/attempt.js';
 import type { RequestOutcome } from '../../src/core/relay/request-outcome.js';
@@ -149,9 +149,9 @@
 cucumber.Given(
 	'{int} requests were let through in the last {int} seconds',
 	function (this: FleetWorld, count: number, seconds: number) {
-		const schedule = new ReturnSchedule();
+		const schedule = new RetrySchedule();
 		for (let at = count; at > 0; at--) {
-			schedule.letThrough(refusedAt - ((at - 0.5) * seconds * 1000) / count);
+			schedule.recordAdmission(refusedAt - ((at - 0.5) * seconds * 1000) / count);
 		}
 		this.seen.set('schedule', schedule);
 	},
@@ -160,8 +160,10 @@
 cucumber.When(
 	'{int} callers are refused, and the first engine may be asked again in {int} ms',
 	function (this: FleetWorld, count: number, openMs: number) {
-		const schedule = this.seen.get('schedule') as ReturnSchedule;
-		const times = Array.from({ length: count }, () => schedule.nextS(refusedAt, openMs));
+		const schedule = this.seen.get('schedule') as RetrySchedule;
+		const times = Array.from({ length: count }, () =>
+			schedule.assignRetryAfterS(refusedAt, openMs),
+		);
 		this.seen.set('times', times);
 	},
 );
@@ -181,8 +183,8 @@
 cucumber.Then(
 	'a caller that is refused after many others comes back within {int} seconds',
 	function (this: FleetWorld, seconds: number) {
-		const schedule = this.seen.get('schedule') as ReturnSchedule;
-		const times = Array.from({ length: 100 }, () => schedule.nextS(refusedAt, 300));
+		const schedule = this.seen.get('schedule') as RetrySchedule;
+		const times = Array.from({ length: 100 }, () => schedule.assignRetryAfterS(refusedAt, 300));
 		assert.ok(Math.max(...times) <= seconds);
 	},
 );
@@ -201,8 +203,8 @@
 	'a VM that heard an engine name a limit of {int}',
 	function (this: FleetWorld, perS: number) {
 		const clock = clockOf(this);
-		const ledger = new LimitLedger({ clock, onChanged() {}, onLimit() {} });
-		ledger.named(1, perS);
+		const ledger = new LimitLedger({ clock, onChanged() {}, onLimitChanged() {} });
+		ledger.recordLimit(1, perS);
 		this.seen.set('ledger', ledger);
 	},
 );
@@ -223,7 +225,7 @@
 
 cucumber.Then(/^the limit is (over|in force)$/, function (this: FleetWorld, state: string) {
 	const ledger = this.seen.get('ledger') as LimitLedger;
-	assert.equal(ledger.perS(1), state === 'over' ? undefined : 3);
+	assert.equal(ledger.getLimitPerS(1), state === 'over' ? undefined : 3);
 });
 
 interface LatePermit {
@@ -240,8 +242,13 @@
 		const asked: string[] = [];
 		let grant = () => {};
 		const permits = {
-			closedMs: () => 0,
-			ask(ref: number, _urgency: number, _waitMs: number, done: (result: PermitResult) => void) {
+			getRetryDelayMs: () => 0,
+			request(
+				ref: number,
+				_urgency: number,
+				_waitMs: number,
+				done: (result: PermitResult) => void,
+			) {
 				const engine = engines.find((one) => one.ref === ref) as Engine;
 				asked.push(engine.id);
 				let isWanted = true;
@@ -263,7 +270,11 @@
 			engines: { offered: () => engines },
 			placement: { choose },
 			fleetHealth: allWell,
-			limits: { ledger: { perS: () => 3 }, permits, returns: () => new ReturnSchedule() },
+			limits: {
+				ledger: { getLimitPerS: () => 3 },
+				permits,
+				getRetrySchedule: () => new RetrySchedule(),
+			},
 			metrics: { permitDenied() {} },
 		} as unknown as RelayContext;
 		const sent: string[] = [];
--- a/test/steps/engine-notices.steps.ts
+++ b/test/steps/engine-notices.steps.ts
@@ -249,7 +249,7 @@
 			budget: { requested() {}, left: () => 5, take: () => true },
 			fleet: { size: 1, changeWork() {}, read() {} },
 			metrics: { retried() {}, engineClosed() {} },
-			quarantine: { mayKnow: () => false },
+			quarantine: { hasMatchingHead: () => false },
 			fleetHealth: allWell,
 			limits: noRequestLimits,
 			onWorkChanged() {},
--- a/test/steps/limited-load.steps.ts
+++ b/test/steps/limited-load.steps.ts
@@ -56,9 +56,9 @@
 		vms,
 		domains,
 		engines,
-		perS,
+		limitPerS: perS,
 		requestsPerS: (vm, at) => {
-			const most = Math.max(perS, load.engines[0]?.perS ?? 0);
+			const most = Math.max(perS, load.engines[0]?.limitPerS ?? 0);
 			return times * engines * most * (demand[where] as Where)(load, vm, at);
 		},
 		...kinds,
@@ -158,7 +158,7 @@
 	for (const vm of fleet.vms) {
 		fleet.start(vm);
 	}
-	loadOf(this).limitChanged();
+	loadOf(this).restartLimitPeriods();
 });
 
 cucumber.When('a tenth of the datagrams is lost, a tenth comes twice', function (this: FleetWorld) {
@@ -189,14 +189,14 @@
 
 cucumber.Then('the limit was kept at all times', function (this: FleetWorld) {
 	for (const engine of loadOf(this).engines) {
-		assert.deepEqual(loadOf(this).broken(engine), []);
+		assert.deepEqual(loadOf(this).findViolations(engine), []);
 	}
 });
 
 cucumber.Then(
 	'at least {float} of it was used after {int} seconds',
 	function (this: FleetWorld, share: number, seconds: number) {
-		const used = loadOf(this).used(seconds * 1000 + 1000);
+		const used = loadOf(this).getUtilization(seconds * 1000 + 1000);
 		assert.ok(used >= share, `${used.toFixed(2)} was used`);
 	},
 );
@@ -205,7 +205,7 @@
 	'at least {float} of it was used in the last {int} seconds',
 	function (this: FleetWorld, share: number, seconds: number) {
 		const load = loadOf(this);
-		const used = load.used(load.now - seconds * 1000);
+		const used = load.getUtilization(load.now - seconds * 1000);
 		assert.ok(!(used < share), `${used.toFixed(2)} was used`);
 	},
 );
@@ -253,17 +253,17 @@
 			clock: clockOf(this),
 			log: silentLog,
 			random: { next: sequence(5), hex: () => '' },
-			self: '10.0.0.1:1',
+			ownAddress: '10.0.0.1:1',
 			engineId: () => undefined,
-			rank: () => 0,
+			getRank: () => 0,
 			heardVms: () => 1,
 			vms: () => undefined,
-			sendAsk() {},
-			sendAnswer() {},
+			sendPermitRequest() {},
+			sendPermitResponse() {},
 			onNews() {},
-			onDue() {},
+			onDueChanged() {},
 		});
-		limits.ledger.named(1, perS);
+		limits.ledger.recordLimit(1, perS);
 		this.seen.set('limits', limits);
 	},
 );
@@ -277,7 +277,7 @@
 		for (const until = clock.now + seconds * 1000; clock.now < until; clock.now += 10) {
 			limits.update();
 			limits.run();
-			limits.permits.ask(1, 0, 0, ({ isGranted }) => {
+			limits.permits.request(1, 0, 0, ({ isGranted }) => {
 				granted += isGranted ? 1 : 0;
 			});
 		}
@@ -298,8 +298,8 @@
 	const election = new IssuerElection({
 		clock,
 		log: silentLog,
-		self: '10.0.0.1:1',
-		rank: () => 0,
+		ownAddress: '10.0.0.1:1',
+		getRank: () => 0,
 		isNeeded: () => true,
 		onChanged() {},
 	});
@@ -321,9 +321,9 @@
 
 cucumber.Then('it has given way to another that was heard meanwhile', function (this: FleetWorld) {
 	const election = seen<IssuerElection>(this, 'election');
-	const other = { address: '10.0.0.2:1', term: 9, beat: 1, isResigned: false };
-	election.take(other);
+	const other = { address: '10.0.0.2:1', term: 9, heartbeatSeq: 1, isResigned: false };
+	election.merge(other);
 	election.update();
-	assert.ok(!election.isSelf);
-	assert.equal(election.address, other.address);
+	assert.ok(!election.isElected);
+	assert.equal(election.issuerAddress, other.address);
 });
--- a/test/steps/limited-load.ts
+++ b/test/steps/limited-load.ts
@@ -22,7 +22,7 @@
 export interface LimitedEngine {
 	ref: number;
 	/** Requests a second that it names now, if it does. */
-	perS?: number;
+	limitPerS?: number;
 	arrivals: { at: number; vm: SimulatedVm; urgency: number }[];
 	/** From when on which limit counts. */
 	limits: { from: number; perS: number | undefined }[];
@@ -32,7 +32,7 @@
 	vms: number;
 	domains: number;
 	engines: number;
-	perS: number;
+	limitPerS: number;
 	/** Requests a second at each VM. */
 	requestsPerS: (vm: SimulatedVm, at: number) => number;
 	/** @default all alike */
@@ -45,10 +45,10 @@
 export class LimitedLoad {
 	readonly fleet: SimulatedFleet;
 	readonly engines: LimitedEngine[];
-	refused = 0;
+	refusedCount = 0;
 	/** Longest time between two permits of each VM while it has work, in milliseconds. */
 	private readonly lastTurn = new Map<SimulatedVm, number>();
-	longestWithoutTurn = 0;
+	maxWithoutPermitMs = 0;
 	private readonly next: () => number;
 	/** Picks engines: drawn from the numbers that decide whether a request comes, some engines would never be picked. */
 	private readonly pick: () => number;
@@ -60,9 +60,9 @@
 		this.pick = sequence((opts.seed ?? 1) + 71);
 		this.engines = Array.from({ length: opts.engines }, (_, at) => ({
 			ref: 1000 + at,
-			perS: opts.perS,
+			perS: opts.limitPerS,
 			arrivals: [],
-			limits: [{ from: this.fleet.clock.now, perS: opts.perS }],
+			limits: [{ from: this.fleet.clock.now, perS: opts.limitPerS }],
 		}));
 	}
 
@@ -87,46 +87,46 @@
 	/** All engines name another limit from now on, or none. */
 	changeLimit(perS: number | undefined): void {
 		for (const engine of this.engines) {
-			engine.perS = perS;
+			engine.limitPerS = perS;
 			engine.limits.push({ from: this.now, perS });
 		}
 	}
 
 	/** What is known of limits was lost: they have to be kept again once they were named. */
-	limitChanged(): void {
-		for (const { limits, perS } of this.engines) {
+	restartLimitPeriods(): void {
+		for (const { limits, limitPerS: perS } of this.engines) {
 			limits.push({ from: this.now, perS });
 		}
 	}
 
 	/** Spans in which more arrived at an engine than its limit allows, from a while after it was named. */
-	broken({ arrivals, limits }: LimitedEngine): string[] {
+	findViolations({ arrivals, limits }: LimitedEngine): string[] {
 		return limits.flatMap(({ from, perS }, at) => {
 			const to = limits[at + 1]?.from ?? Number.POSITIVE_INFINITY;
 			const times = arrivals
 				.map((one) => one.at)
 				.filter((time) => time >= from + knownMs && time < to);
 			const most = mostInSpan(times);
-			const allowed = perS === undefined ? Number.POSITIVE_INFINITY : allowedOf(perS);
+			const allowed = perS === undefined ? Number.POSITIVE_INFINITY : maxAllowedArrivals(perS);
 			return most > allowed ? [`${most} in 4 s, allowed ${allowed}`] : [];
 		});
 	}
 
 	/** Most arrivals at an engine in any span that begins after a time. */
-	most(engine: LimitedEngine, from: number): number {
+	countMaxArrivals(engine: LimitedEngine, from: number): number {
 		return mostInSpan(engine.arrivals.map(({ at }) => at).filter((at) => at >= from));
 	}
 
 	/** Share of what the engines take that was used from a time to now. */
-	used(from: number): number {
+	getUtilization(from: number): number {
 		const all = this.engines.flatMap(({ arrivals }) => arrivals);
 		const count = all.filter(({ at }) => at >= from).length;
-		const perS = this.engines.reduce((sum, engine) => sum + (engine.perS ?? 0), 0);
+		const perS = this.engines.reduce((sum, engine) => sum + (engine.limitPerS ?? 0), 0);
 		return (count * 1000) / (perS * (this.now - from));
 	}
 
 	/** Bytes that a VM sent in a second, in the mean. */
-	get bytesPerVmS(): number {
+	get bytesPerSecondPerVm(): number {
 		const sent = this.fleet.vms.reduce((sum, vm) => sum + vm.sentBytes, 0);
 		return (sent * 1000) / (this.fleet.vms.length * this.countedMs);
 	}
@@ -141,7 +141,7 @@
 		this.fleet.resetCounts();
 		this.countedFrom = this.now;
 		this.lastTurn.clear();
-		this.longestWithoutTurn = 0;
+		this.maxWithoutPermitMs = 0;
 	}
 
 	private bring(vm: SimulatedVm): void {
@@ -158,26 +158,26 @@
 			this.lastTurn.set(vm, this.now);
 		}
 		const without = this.now - (this.lastTurn.get(vm) ?? this.now);
-		this.longestWithoutTurn = Math.max(this.longestWithoutTurn, without);
+		this.maxWithoutPermitMs = Math.max(this.maxWithoutPermitMs, without);
 		const { ledger, permits } = vm.limits;
 		const from = Math.floor(this.pick() * this.engines.length);
 		const turn = [...this.engines.slice(from), ...this.engines.slice(0, from)];
 		const level = Math.min(urgency, urgencyLevels - 1);
 		const waitMs = this.opts.waitMs?.(urgency) ?? usualWaitMs;
-		const engine = turn.find(({ ref }) => permits.closedMs(ref, level) <= waitMs);
+		const engine = turn.find(({ ref }) => permits.getRetryDelayMs(ref, level) <= waitMs);
 		if (!engine) {
-			this.refused++;
+			this.refusedCount++;
 			return;
 		}
-		if (ledger.perS(engine.ref) === undefined) {
+		if (ledger.getLimitPerS(engine.ref) === undefined) {
 			this.send(vm, engine, level);
 			return;
 		}
-		permits.ask(engine.ref, level, waitMs, ({ isGranted }) => {
+		permits.request(engine.ref, level, waitMs, ({ isGranted }) => {
 			if (isGranted) {
 				this.send(vm, engine, level);
 			} else {
-				this.refused++;
+				this.refusedCount++;
 			}
 		});
 	}
@@ -187,12 +187,12 @@
 		const sentAt = this.now;
 		this.later(wayMs, () => {
 			engine.arrivals.push({ at: this.now, vm, urgency });
-			const { perS } = engine;
+			const { limitPerS: perS } = engine;
 			this.later(answerMs, () => {
 				if (vm.isRunning && perS !== undefined) {
-					vm.limits.ledger.named(engine.ref, perS);
+					vm.limits.ledger.recordLimit(engine.ref, perS);
 				} else if (vm.isRunning) {
-					vm.limits.ledger.notNamed(engine.ref, sentAt);
+					vm.limits.ledger.recordNoLimit(engine.ref, sentAt);
 				}
 			});
 		});
@@ -204,7 +204,7 @@
 }
 
 /** Requests that may arrive in a span. */
-export function allowedOf(perS: number): number {
+export function maxAllowedArrivals(perS: number): number {
 	return (1.5 * perS * spanMs) / 1000 + 5;
 }
 
--- a/test/steps/quarantine.steps.ts
+++ b/test/steps/quarantine.steps.ts
@@ -5,7 +5,7 @@
 import * as assert from 'node:assert/strict';
 import * as cucumber from '@cucumber/cucumber';
 import type { Engine } from '../../src/core/engines/engine.js';
-import { nameOf } from '../../src/core/quarantine/content-hash.js';
+import { formatContentHash } from '../../src/core/quarantine/content-hash.js';
 import { Quarantine } from '../../src/core/quarantine/quarantine.js';
 import { QuarantineRecords } from '../../src/core/quarantine/quarantine-records.js';
 import type { Store } from '../../src/core/store/definitions.js';
@@ -59,20 +59,20 @@
 	vms: number;
 	engines: number;
 	crashesPerS: number;
-	othersPerS: number;
+	harmlessPerS: number;
 	lost: number;
 }
 
 cucumber.Given(
 	'{int} VMs before {int} engines that end as they run one content, which comes {int} times a second',
 	function (this: FleetWorld, vms: number, engines: number, crashesPerS: number) {
-		const load: Spells = { vms, engines, crashesPerS, othersPerS: 0, lost: 0 };
+		const load: Spells = { vms, engines, crashesPerS, harmlessPerS: 0, lost: 0 };
 		this.seen.set('load', load);
 	},
 );
 
-cucumber.Given('{int} other requests a second', function (this: FleetWorld, othersPerS: number) {
-	seen<Spells>(this, 'load').othersPerS = othersPerS;
+cucumber.Given('{int} other requests a second', function (this: FleetWorld, harmlessPerS: number) {
+	seen<Spells>(this, 'load').harmlessPerS = harmlessPerS;
 });
 
 cucumber.Given('{int} of 100 news are lost', function (this: FleetWorld, lost: number) {
@@ -95,14 +95,16 @@
 );
 
 cucumber.Then('at most {int} engines end in each', function (this: FleetWorld, most: number) {
-	const ends = seen<SimulatedCrashes[]>(this, 'spells').map(({ endedAt }) => endedAt.length);
+	const ends = seen<SimulatedCrashes[]>(this, 'spells').map(
+		({ crashedAt: endedAt }) => endedAt.length,
+	);
 	assert.ok(Math.max(...ends) <= most, ends.join(' '));
 });
 
 cucumber.Then(
 	'the content reaches no engine later than {int} ms after the third end',
 	function (this: FleetWorld, ms: number) {
-		for (const { endedAt, reachedAt } of seen<SimulatedCrashes[]>(this, 'spells')) {
+		for (const { crashedAt: endedAt, reachedAt } of seen<SimulatedCrashes[]>(this, 'spells')) {
 			const third = endedAt[2] ?? Number.POSITIVE_INFINITY;
 			assert.deepEqual(
 				reachedAt.filter((at) => at > third + ms),
@@ -116,8 +118,11 @@
 	'at most {int} in {int} other requests is refused',
 	function (this: FleetWorld, some: number, of: number) {
 		const spells = seen<SimulatedCrashes[]>(this, 'spells');
-		const refused = spells.reduce((sum, { othersRefused }) => sum + othersRefused, 0);
-		const others = spells.reduce((sum, spell) => sum + spell.others, 0);
+		const refused = spells.reduce(
+			(sum, { harmlessRefusedCount: othersRefused }) => sum + othersRefused,
+			0,
+		);
+		const others = spells.reduce((sum, spell) => sum + spell.harmlessCount, 0);
 		assert.ok(refused * of <= others * some, `${refused} of ${others}`);
 	},
 );
@@ -139,9 +144,9 @@
 function endUnder(fleet: SimulatedFleet, ref: number, names: readonly string[]): void {
 	for (const [at, name] of names.entries()) {
 		const vm = fleet.vms[at % fleet.vms.length];
-		vm?.quarantine.broke(contents[name] ?? 0, engine(ref));
+		vm?.quarantine.recordFailure(contents[name] ?? 0, engine(ref));
 	}
-	fleet.vms[0]?.quarantine.engineEnded(ref);
+	fleet.vms[0]?.quarantine.recordEngineCrash(ref);
 	fleet.run(500);
 }
 
@@ -167,12 +172,12 @@
 
 cucumber.When('one of its attempts is served after all', function (this: FleetWorld) {
 	const fleet = seen<SimulatedFleet>(this, 'fleet');
-	fleet.vms[2]?.quarantine.served(contents.hot ?? 0);
+	fleet.vms[2]?.quarantine.recordSuccess(contents.hot ?? 0);
 });
 
 cucumber.Then('all VMs keep it from engines', function (this: FleetWorld) {
 	for (const { quarantine } of seen<SimulatedFleet>(this, 'fleet').vms) {
-		assert.ok(quarantine.holds(contents.hot ?? 0));
+		assert.ok(quarantine.isQuarantined(contents.hot ?? 0));
 	}
 });
 
@@ -182,7 +187,7 @@
 		const fleet = seen<SimulatedFleet>(this, 'fleet');
 		fleet.run(ms);
 		for (const { quarantine } of fleet.vms) {
-			assert.ok(!quarantine.holds(contents.hot ?? 0));
+			assert.ok(!quarantine.isQuarantined(contents.hot ?? 0));
 		}
 	},
 );
@@ -228,7 +233,7 @@
 	'the store holds that {string} crashes engines',
 	function (this: FleetWorld, name: string) {
 		const item = {
-			key: `quarantine/${nameOf(contents[name] ?? 0)}`,
+			key: `quarantine/${formatContentHash(contents[name] ?? 0)}`,
 			value: '',
 			revision: 1,
 			lease: 1,
@@ -241,7 +246,12 @@
 cucumber.Given('a VM that hears no peer, started long ago', async function (this: FleetWorld) {
 	const clock = new StepClock();
 	const isDeserted = async () => true;
-	const quarantine = new Quarantine({ clock, log: silentLog, onNews() {}, isDeserted });
+	const quarantine = new Quarantine({
+		clock,
+		log: silentLog,
+		onNews() {},
+		isPortClosed: isDeserted,
+	});
 	const store = seen<Store>(this, 'store');
 	const isEmpty = { ...store, range: async () => ({ items: [], revision: 0 }) };
 	const ports = { clock, log: silentLog, prefix: 'quarantine/', quarantine };
@@ -250,9 +260,9 @@
 	const records = new QuarantineRecords({
 		...ports,
 		store: { range } as unknown as Store,
-		missesPeers: () => true,
-		isStoreAway: () => false,
-		onRead() {},
+		hasUnreachablePeers: () => true,
+		isStoreUnavailable: () => false,
+		onFirstRead() {},
 	});
 	// What it read at its start did not tell of the content.
 	await records.update();
@@ -266,12 +276,12 @@
 	'an engine ends under {string} at that VM',
 	async function (this: FleetWorld, name: string) {
 		const quarantine = seen<Quarantine>(this, 'quarantine');
-		quarantine.broke(contents[name] ?? 0, engine(1));
-		quarantine.engineEnded(1);
+		quarantine.recordFailure(contents[name] ?? 0, engine(1));
+		quarantine.recordEngineCrash(1);
 		await seen<QuarantineRecords>(this, 'records').update();
 	},
 );
 
 cucumber.Then('that VM keeps {string} from engines', function (this: FleetWorld, name: string) {
-	assert.ok(seen<Quarantine>(this, 'quarantine').holds(contents[name] ?? 0));
+	assert.ok(seen<Quarantine>(this, 'quarantine').isQuarantined(contents[name] ?? 0));
 });
--- a/test/steps/relay-fakes.ts
+++ b/test/steps/relay-fakes.ts
@@ -8,7 +8,7 @@
 import { FleetView } from '../../src/core/fleet/fleet-view.js';
 import type { EngineRange, PeerNews } from '../../src/core/fleet/types.js';
 import { newsKinds } from '../../src/core/fleet/types.js';
-import type { LimitNews } from '../../src/core/limits/fleet-limits.js';
+import type { LimitGossip } from '../../src/core/limits/fleet-limits.js';
 import { CrashLedger } from '../../src/core/quarantine/crash-ledger.js';
 import type { RelayContext, RequestLimits } from '../../src/core/relay/types.js';
 import type { Route, RoutingConfiguration } from '../../src/core/routing/types.js';
@@ -48,14 +48,14 @@
 
 /** A ledger in which no engine ended. */
 export function noCrashes(): CrashLedger {
-	return new CrashLedger({ clock: new StepClock(), onChanged() {}, onOwn() {} });
+	return new CrashLedger({ clock: new StepClock(), onChanged() {}, onLocalChange() {} });
 }
 
 /** No engine names a limit. */
-export const noLimitNews: LimitNews = {
-	wordsToTell: () => [],
-	issuerToTell: () => undefined,
-	take: () => false,
+export const noLimitNews: LimitGossip = {
+	getUpdatesToSend: () => [],
+	getIssuerToSend: () => undefined,
+	merge: () => false,
 };
 
 /** No engine fails. */
@@ -73,7 +73,7 @@
 
 /** What a relayed request goes by there. */
 export const noRequestLimits = {
-	ledger: { perS: () => undefined, named() {}, notNamed() {} },
+	ledger: { getLimitPerS: () => undefined, recordLimit() {}, recordNoLimit() {} },
 } as unknown as RequestLimits;
 
 export const clocks = new WeakMap<FleetWorld, StepClock>();
--- a/test/steps/relay-fleet.steps.ts
+++ b/test/steps/relay-fleet.steps.ts
@@ -464,10 +464,10 @@
 		answers: [{ engine: 4_000_000_000, failed: 4, served: 1, failingVms: 3 }],
 		speeds: [{ service: 3_000_000_000, engines: [{ engine: 4_000_000_000, ...pace }] }],
 		limits: [
-			{ engine: 4_000_000_000, perS: 2.9, version: 3 },
-			{ engine: 2, perS: undefined, version: 70 },
+			{ engine: 4_000_000_000, limitPerS: 2.9, version: 3 },
+			{ engine: 2, limitPerS: undefined, version: 70 },
 		],
-		issuer: { address: '10.0.0.3:1', term: 4, beat: 1200, isResigned: false },
+		issuer: { address: '10.0.0.3:1', term: 4, heartbeatSeq: 1200, isResigned: false },
 	});
 	this.seen.set('news', told);
 });
@@ -532,8 +532,8 @@
 cucumber.Given(
 	/^an ask for a permit whose (from|urgency|waitMs) is (\S+)$/,
 	function (this: FleetWorld, field: string, value: string) {
-		const word = { engine: 1, perS: 3, version: 1 };
-		const right = { from: '10.0.0.1:7000', id: 1, word, urgency: 0, waitMs: 30 };
+		const limit = { engine: 1, limitPerS: 3, version: 1 };
+		const right = { from: '10.0.0.1:7000', id: 1, limit, urgency: 0, waitMs: 30 };
 		assert.ok(datagrams.hand(encodePermitAsk(right), noListener));
 		const part = { [field]: field === 'from' ? value : Number(value) };
 		this.seen.set('datagram', encodePermitAsk({ ...right, ...part }));
--- a/test/steps/simulated-crashes.ts
+++ b/test/steps/simulated-crashes.ts
@@ -25,7 +25,7 @@
 /** A stream that ran so long did not end its engine, as for the relay. */
 const harmlessMs = 500;
 
-export const crasher = 1;
+export const crashingContent = 1;
 
 interface Running {
 	content: number;
@@ -43,12 +43,12 @@
 	run: () => void;
 }
 
-export interface CrashLoad {
+export interface CrashLoadOptions {
 	vms: number;
 	engines: number;
 	/** Arrivals in a second, of the one content and of all others. */
 	crashesPerS: number;
-	othersPerS: number;
+	harmlessPerS: number;
 	seed: number;
 }
 
@@ -57,17 +57,17 @@
 	/** Times at which the one content reached an engine. */
 	readonly reachedAt: number[] = [];
 	/** Ends of engines by it. */
-	readonly endedAt: number[] = [];
-	others = 0;
-	othersRefused = 0;
+	readonly crashedAt: number[] = [];
+	harmlessCount = 0;
+	harmlessRefusedCount = 0;
 	private readonly next: () => number;
 	private readonly up = new Set<number>();
 	private running: Running[] = [];
 	private due: Due[] = [];
 	private lastEngine = 0;
-	private lastContent = crasher;
+	private lastContent = crashingContent;
 
-	constructor(private readonly load: CrashLoad) {
+	constructor(private readonly load: CrashLoadOptions) {
 		this.fleet = new SimulatedFleet(load.vms, 3, load.seed);
 		this.next = sequence(load.seed);
 		for (let at = 0; at < load.engines; at++) {
@@ -99,10 +99,10 @@
 
 	private arrive(): void {
 		if (this.next() < (this.load.crashesPerS * stepMs) / 1000) {
-			this.ask(crasher, false);
+			this.ask(crashingContent, false);
 		}
-		if (this.next() < (this.load.othersPerS * stepMs) / 1000) {
-			this.others++;
+		if (this.next() < (this.load.harmlessPerS * stepMs) / 1000) {
+			this.harmlessCount++;
 			this.ask(++this.lastContent, false);
 		}
 	}
@@ -110,8 +110,8 @@
 	private ask(content: number, isAgain: boolean): void {
 		const { running } = this.fleet;
 		const vm = running[Math.floor(this.next() * running.length)] as SimulatedVm;
-		if (vm.quarantine.holds(content)) {
-			this.othersRefused += content === crasher ? 0 : 1;
+		if (vm.quarantine.isQuarantined(content)) {
+			this.harmlessRefusedCount += content === crashingContent ? 0 : 1;
 			return;
 		}
 		this.place({ content, vm, engine: 0, sentAt: 0, beginsAt: 0, tries: 0, isAgain });
@@ -127,7 +127,7 @@
 		const beginsAt = this.now + waitMs + ahead * queueMs;
 		const tries = request.tries + 1;
 		this.running.push({ ...request, engine, sentAt: this.now, beginsAt, tries });
-		if (request.content === crasher) {
+		if (request.content === crashingContent) {
 			this.reachedAt.push(this.now);
 		}
 	}
@@ -140,11 +140,11 @@
 	private proceed(): void {
 		for (const request of this.running) {
 			const forMs = this.now - request.beginsAt;
-			if (request.content === crasher && forMs >= crashMs) {
+			if (request.content === crashingContent && forMs >= crashMs) {
 				this.end(request.engine);
-			} else if (request.content !== crasher && forMs >= runMs) {
+			} else if (request.content !== crashingContent && forMs >= runMs) {
 				this.running = this.running.filter((one) => one !== request);
-				request.vm.quarantine.served(request.content);
+				request.vm.quarantine.recordSuccess(request.content);
 			}
 		}
 	}
@@ -153,7 +153,7 @@
 		if (!this.up.delete(engine)) {
 			return;
 		}
-		this.endedAt.push(this.now);
+		this.crashedAt.push(this.now);
 		const broken = this.running.filter((one) => one.engine === engine);
 		this.running = this.running.filter((one) => one.engine !== engine);
 		for (const request of broken) {
@@ -166,10 +166,10 @@
 		const { content, vm, engine, beginsAt, tries, isAgain } = request;
 		const { quarantine } = vm;
 		if (this.now - beginsAt < harmlessMs) {
-			quarantine.broke(content, engineOf(engine));
-			this.due.push({ at: this.now + askedMs, run: () => quarantine.engineEnded(engine) });
+			quarantine.recordFailure(content, engineOf(engine));
+			this.due.push({ at: this.now + askedMs, run: () => quarantine.recordEngineCrash(engine) });
 		}
-		if (tries < 2 && quarantine.mayGoOn(content)) {
+		if (tries < 2 && quarantine.isRetryAllowed(content)) {
 			this.place(request);
 		} else if (!isAgain && this.next() < 0.5) {
 			this.due.push({ at: this.now + againMs, run: () => this.ask(content, true) });
@@ -178,6 +178,6 @@
 }
 
 /** What the quarantine needs of an engine. */
-function engineOf(ref: number): Parameters<Quarantine['broke']>[1] {
+function engineOf(ref: number): Parameters<Quarantine['recordFailure']>[1] {
 	return { ref, entry: { address: `10.0.0.1:${ref}` } } as Engine;
 }
--- a/test/steps/simulated-fleet.ts
+++ b/test/steps/simulated-fleet.ts
@@ -81,23 +81,23 @@
 		const { listed } = vm;
 		const costs = new CostModel();
 		const onNews = () => vm.exchange.changed();
-		const isDeserted = async () => false;
-		const ports = { clock: this.clock, log: silentLog, onNews, isDeserted };
+		const isPortClosed = async () => false;
+		const ports = { clock: this.clock, log: silentLog, onNews, isPortClosed };
 		const quarantine = new Quarantine(ports);
 		const others = () => this.vms.filter((other) => other !== vm).map((other) => other.listed);
 		const limits = new FleetLimits({
 			clock: this.clock,
 			log: silentLog,
 			random: { next: this.next, hex: () => '' },
-			self: addressOf(listed.address),
+			ownAddress: addressOf(listed.address),
 			engineId: () => undefined,
-			rank: (without) => issuerRank(listed, others(), without),
+			getRank: (without) => issuerRank(listed, others(), without),
 			heardVms: () => fleet.size,
 			vms: () => this.vms.length,
-			sendAsk: (to, ask) => this.sendBytes(vm, to, encodePermitAsk(ask)),
-			sendAnswer: (to, answer) => this.sendBytes(vm, to, encodePermitAnswer(answer)),
+			sendPermitRequest: (to, ask) => this.sendBytes(vm, to, encodePermitAsk(ask)),
+			sendPermitResponse: (to, answer) => this.sendBytes(vm, to, encodePermitAnswer(answer)),
 			onNews: () => vm.exchange?.changed(),
-			onDue() {},
+			onDueChanged() {},
 		});
 		const health = new FleetHealth({
 			clock: this.clock,
@@ -238,8 +238,8 @@
 					news: (news) => vm.exchange.receive(news),
 					usage() {},
 					usageTaken() {},
-					permitAsk: (ask) => vm.limits.asked(ask),
-					permitAnswer: (answer) => vm.limits.answered(answer),
+					permitAsk: (ask) => vm.limits.handlePermitRequest(ask),
+					permitAnswer: (answer) => vm.limits.handlePermitResponse(answer),
 				});
 			}
 		}
--- a/test/steps/suspension.steps.ts
+++ b/test/steps/suspension.steps.ts
@@ -233,7 +233,7 @@
 function contextOf(world: FleetWorld, underWay: UnderWay): RelayContext {
 	const clock = clockOf(world);
 	const engines = ['a', 'b'].map((id) => new Engine(entry(id)));
-	const isDeserted = async () => false;
+	const isPortClosed = async () => false;
 	const work = { engine: 0, running: 0, promptTokens: 0 };
 	const figures = { promptTokens: 0, readingMs: 0, waitMs: 0, readMsPerToken: 0, pace: usualPace };
 	const tokens = { ...figures, cachedTokens: 0, copiedTokens: 0, work, reason: '' };
@@ -256,7 +256,7 @@
 			},
 		},
 		budget: new RetryBudget(retries, () => 1),
-		quarantine: new Quarantine({ clock, log: silentLog, onNews() {}, isDeserted }),
+		quarantine: new Quarantine({ clock, log: silentLog, onNews() {}, isPortClosed }),
 		fleet: newFleet(world),
 		limits: noRequestLimits,
 		fleetHealth: allWell,
