--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -24,7 +24,7 @@
 	moving: ({ fleet }, vm, at) => {
 		const count = Math.min(domains, fleet.vms.length);
 		const domain = `domain-${Math.floor(at / moveMs) % count}`;
-		const here = fleet.vms.filter(({ listed }) => listed.domain === domain);
+		const here = fleet.vms.filter(({ registration: listed }) => listed.domain === domain);
 		return here.includes(vm) ? 1 / here.length : 0;
 	},
 };
--- a/src/core/engines/placement-types.ts
+++ b/src/core/engines/placement-types.ts
@@ -2,7 +2,7 @@
  * What is placed, what it is weighed by, and what comes of it.
  * @module
  */
-import type { KeptTokens } from '../fleet/prompt-cache-map.js';
+import type { CachedTokens } from '../fleet/prefix-cache-map.js';
 import type { EngineRef, EngineWork } from '../fleet/types.js';
 import type { PromptPart } from '../relay/definitions.js';
 import type { ModelCapacity } from '../routing/types.js';
@@ -80,7 +80,7 @@
 
 /** Which engines keep how much of the start of a prompt. */
 export interface Kept {
-	by: ReadonlyMap<EngineRef, KeptTokens>;
+	by: ReadonlyMap<EngineRef, CachedTokens>;
 	/** The engine from which most of it can be copied, and how much. */
 	copyFrom?: Engine;
 	copyable: number;
--- a/src/core/engines/placement.ts
+++ b/src/core/engines/placement.ts
@@ -5,7 +5,7 @@
  */
 import type { Random } from '../definitions.js';
 import type { FleetView } from '../fleet/fleet-view.js';
-import type { KeptTokens } from '../fleet/prompt-cache-map.js';
+import type { CachedTokens } from '../fleet/prefix-cache-map.js';
 import * as rendezvous from '../membership/rendezvous.js';
 import type { PromptPart } from '../relay/definitions.js';
 import { bearableMs, isLongPrompt } from './bearable-pause.js';
@@ -67,7 +67,7 @@
 /** More than any random score. */
 const connectedScore = 1;
 
-const nothingKept: KeptTokens = { cached: 0, copyable: 0 };
+const nothingKept: CachedTokens = { cached: 0, copyable: 0 };
 
 export class EnginePlacement {
 	private readonly divisions = new Map<string, EngineDivision>();
@@ -141,7 +141,7 @@
 		const { engine, uncached, waitMs } = best;
 		const size = { promptTokens: uncached, answerTokens: req.answerTokens };
 		const workMs = isLong ? longWorkMs : shortWorkMs;
-		this.fleet.arrived(workMs(costs, size, engine.entry.slots), isLong);
+		this.fleet.recordArrival(workMs(costs, size, engine.entry.slots), isLong);
 		return {
 			engine,
 			promptTokens: uncached,
@@ -201,7 +201,7 @@
 
 	/** What is left of a queue now: news are half as old as they can be in the mean, and engines read on meanwhile. */
 	private queueLeftMs({ queueMs }: Candidate): number {
-		return Math.max(0, queueMs - this.fleet.newsAgeMs * meanNewsAge);
+		return Math.max(0, queueMs - this.fleet.maxGossipAgeMs * meanNewsAge);
 	}
 
 	/** How busy long prompts keep the engines that read them: 1 is all of the time; 0 for a short prompt. */
@@ -210,7 +210,7 @@
 	}
 
 	private keptOf(req: PlacementRequest, open: readonly Engine[]): Kept {
-		const by = this.fleet.keptBy(req.parts.slice(0, -1));
+		const by = this.fleet.cachedTokensByEngine(req.parts.slice(0, -1));
 		const copyableOf = (engine: Engine) => (by.get(engine.ref) ?? nothingKept).copyable;
 		const copyable = Math.max(...open.map(copyableOf));
 		// Any of them, since copies from one engine wait for each other.
@@ -230,7 +230,7 @@
 		const uncached = Math.max(0, req.promptTokens - cached - copied);
 		const { heldMs } = costs;
 		const { slots } = engine.entry;
-		const slotMs = slotWaitMs({ ...work, slots, heldMs, newsAgeMs: this.fleet.newsAgeMs });
+		const slotMs = slotWaitMs({ ...work, slots, heldMs, newsAgeMs: this.fleet.maxGossipAgeMs });
 		const queueMs = work.promptTokens * costs.readMsPerToken + slotMs;
 		const ownMs = readingMs(costs, uncached) + copyingMs(costs, copied);
 		const waitMs = costs.firstMs + queueMs + ownMs;
@@ -267,7 +267,7 @@
 	}
 
 	private get costStepMs(): number {
-		return Math.max(leastCostStepMs, this.fleet.newsAgeMs * costStepOfNewsAge);
+		return Math.max(leastCostStepMs, this.fleet.maxGossipAgeMs * costStepOfNewsAge);
 	}
 
 	private divisionOf(service: string, engines: readonly Engine[], now: number): Division {
--- a/src/core/fleet/aggregator-selection.ts
+++ b/src/core/fleet/aggregator-selection.ts
@@ -22,7 +22,7 @@
 const longestPassOverMs = 16_000;
 
 /** A VM as its registration tells. */
-export interface ListedVm {
+export interface RegisteredVm {
 	name: string;
 	/** Failure domain. */
 	domain: string;
@@ -39,19 +39,19 @@
 
 export class AggregatorSelection {
 	private readonly passedOver = new Map<string, PassedOver>();
-	private listed?: readonly ListedVm[];
-	private vms: readonly ListedVm[] = [];
+	private listed?: readonly RegisteredVm[];
+	private vms: readonly RegisteredVm[] = [];
 	private key = '';
 	/** VMs of each domain, the first choice first. */
-	private ranked = new Map<string, ListedVm[]>();
+	private ranked = new Map<string, RegisteredVm[]>();
 	/** The choice while none is passed over; looked up several times a second. */
-	private firstChoice?: ListedVm;
-	private isRetired = false;
+	private firstChoice?: RegisteredVm;
+	private isStopping = false;
 
-	constructor(private readonly self: ListedVm) {}
+	constructor(private readonly self: RegisteredVm) {}
 
 	/** @param others those registered beside this VM */
-	update(others: readonly ListedVm[]): void {
+	update(others: readonly RegisteredVm[]): void {
 		if (others === this.listed) {
 			return;
 		}
@@ -67,28 +67,28 @@
 	}
 
 	/** This VM stops: it serves nobody. */
-	get retired(): boolean {
-		return this.isRetired;
+	get isRetired(): boolean {
+		return this.isStopping;
 	}
 
-	set retired(isRetired: boolean) {
-		this.isRetired = isRetired;
+	set isRetired(isRetired: boolean) {
+		this.isStopping = isRetired;
 		this.firstChoice = undefined;
 	}
 
 	/** Whether another VM is registered. */
-	get knowsOthers(): boolean {
+	get hasOthers(): boolean {
 		return this.vms.length > 1;
 	}
 
 	/** In a small fleet each VM tells all others itself. */
-	get isSmall(): boolean {
+	get isSmallFleet(): boolean {
 		return this.vms.length <= smallFleetSize;
 	}
 
 	/** The VM that should gather this VM's news; it may be this one. */
-	own(now: number): ListedVm {
-		if (this.isSmall) {
+	chooseAggregator(now: number): RegisteredVm {
+		if (this.isSmallFleet) {
 			return this.self;
 		}
 		if (this.passedOver.size > 0) {
@@ -98,7 +98,7 @@
 		return this.firstChoice;
 	}
 
-	private choose(now: number): ListedVm {
+	private choose(now: number): RegisteredVm {
 		const first = this.firstOf(this.self.domain, now);
 		const scored = first.map((vm) => ({
 			vm,
@@ -112,8 +112,8 @@
 	 * Other VMs that should be told this VM's sums while it is an aggregator. The first choice of each domain is told also
 	 * when it is passed over: after a cut between domains both sides are heard at once.
 	 */
-	others(now: number): HostPort[] {
-		const chosen = this.isSmall
+	otherAggregators(now: number): HostPort[] {
+		const chosen = this.isSmallFleet
 			? this.vms
 			: [...this.ranked].flatMap(([domain, ranked]) => [
 					...ranked.slice(0, countOf(ranked)),
@@ -123,38 +123,38 @@
 	}
 
 	/** A VM did not answer where it should have. */
-	passOver(address: string, now: number): void {
+	exclude(address: string, now: number): void {
 		const before = this.passedOver.get(address)?.lastMs ?? 0;
 		const lastMs = Math.min(Math.max(firstPassOverMs, before * 2), longestPassOverMs);
 		this.passedOver.set(address, { until: now + lastMs, lastMs });
 	}
 
 	/** A VM serves as it should. */
-	serves(address: string): void {
+	readmit(address: string): void {
 		this.passedOver.delete(address);
 	}
 
-	isPassedOver(address: string, now: number): boolean {
+	isExcluded(address: string, now: number): boolean {
 		return now < (this.passedOver.get(address)?.until ?? 0);
 	}
 
 	/** The first of a domain that are not passed over, as many as its size asks for. */
-	private firstOf(domain: string, now: number): ListedVm[] {
+	private firstOf(domain: string, now: number): RegisteredVm[] {
 		const ranked = this.ranked.get(domain) ?? [];
 		const usable = ranked.filter((vm) => this.isUsable(vm, now));
 		return usable.slice(0, countOf(ranked));
 	}
 
-	private isUsable(vm: ListedVm, now: number): boolean {
+	private isUsable(vm: RegisteredVm, now: number): boolean {
 		if (vm.name === this.self.name) {
-			return !this.isRetired;
+			return !this.isStopping;
 		}
-		return this.passedOver.size === 0 || !this.isPassedOver(addressOf(vm.address), now);
+		return this.passedOver.size === 0 || !this.isExcluded(addressOf(vm.address), now);
 	}
 }
 
 /** Aggregators that a domain needs. */
-function countOf(ranked: readonly ListedVm[]): number {
+function countOf(ranked: readonly RegisteredVm[]): number {
 	return Math.ceil(ranked.length / membersEach);
 }
 
@@ -168,14 +168,14 @@
 }
 
 /** The VMs with the most processor first: the smallest spend a third of a core on what the largest hardly notice. */
-function rank(vms: readonly ListedVm[]): Map<string, ListedVm[]> {
-	const ranked = new Map<string, ListedVm[]>();
+function rank(vms: readonly RegisteredVm[]): Map<string, RegisteredVm[]> {
+	const ranked = new Map<string, RegisteredVm[]>();
 	for (const vm of vms) {
 		ranked.set(vm.domain, [...(ranked.get(vm.domain) ?? []), vm]);
 	}
 	for (const [domain, ofDomain] of ranked) {
 		const scores = new Map(ofDomain.map((vm) => [vm.name, rendezvous.scoreOf(domain, vm.name)]));
-		const scoreOf = (vm: ListedVm) => scores.get(vm.name) ?? 0;
+		const scoreOf = (vm: RegisteredVm) => scores.get(vm.name) ?? 0;
 		ofDomain.sort((a, b) => b.cores - a.cores || scoreOf(b) - scoreOf(a));
 	}
 	return ranked;
--- a/src/core/fleet/fleet-view.ts
+++ b/src/core/fleet/fleet-view.ts
@@ -14,25 +14,25 @@
 import type { PromptPart } from '../relay/definitions.js';
 import { DemandMeter } from './demand-meter.js';
 import { FleetWork } from './fleet-work.js';
-import { KnownParts } from './known-parts.js';
-import type { NewsContent } from './news-composer.js';
-import { NewsComposer } from './news-composer.js';
-import type { NewsSource } from './news-source.js';
-import { NewsSources, sumOfDemand } from './news-sources.js';
-import type { KeptTokens } from './prompt-cache-map.js';
+import type { GossipContent } from './gossip-composer.js';
+import { GossipComposer } from './gossip-composer.js';
+import type { GossipSource } from './gossip-source.js';
+import { GossipSources, sumDemand } from './gossip-sources.js';
+import type { CachedTokens } from './prefix-cache-map.js';
+import { PrefixCacheTracker } from './prefix-cache-tracker.js';
 import { refOf } from './refs.js';
 import { StoreReaders } from './store-readers.js';
 import type {
 	Demand,
 	EngineRef,
 	EngineWork,
-	HeardReport,
-	NewsKind,
-	PeerNews,
-	StoreNews,
+	GossipKind,
+	GossipMessage,
+	ReportAck,
 	StoreReader,
+	StoreStatus,
 } from './types.js';
-import { newsKinds } from './types.js';
+import { gossipKinds } from './types.js';
 import type { WorkChange } from './work-sums.js';
 
 /** Time between two looks for VMs that fell silent, in milliseconds: a tenth of the least time that makes one silent. */
@@ -45,7 +45,7 @@
 	clock: Clock;
 	log: Log;
 	/** Tells this process from an earlier one of the same VM. */
-	life: number;
+	incarnation: number;
 	/** A peer has a newer configuration in force. */
 	onNewerConfiguration: (address: string, version: number) => void;
 	/** What work costs, as this VM has seen; peers add up what each has seen. */
@@ -53,9 +53,9 @@
 	/** Answers of engines that fail, of this VM and as peers tell. */
 	answers: AnswerNews;
 	/** What this VM tells of the store; undefined while it does not read it itself. */
-	storeNews: () => StoreNews | undefined;
+	storeStatus: () => StoreStatus | undefined;
 	/** A peer that reads the store tells of it. */
-	onStoreNews: (address: string, store: StoreNews) => void;
+	onStoreStatus: (address: string, store: StoreStatus) => void;
 	/** What this VM knows of engines that ended. */
 	crashes: CrashGossip;
 	/** What this VM knows of the requests a second that engines take. */
@@ -63,56 +63,56 @@
 }
 
 export class FleetView {
-	private readonly sources: NewsSources;
+	private readonly sources: GossipSources;
 	private readonly work = new FleetWork();
-	private readonly parts = new KnownParts();
+	private readonly parts = new PrefixCacheTracker();
 	private readonly readers = new StoreReaders();
 	private silenceLookedAt = Number.NEGATIVE_INFINITY;
 	private readonly meter = new DemandMeter();
-	private readonly composer: NewsComposer;
+	private readonly composer: GossipComposer;
 	private aggregator?: string;
 	private isChanged = false;
 	configurationVersion = 0;
 	/** Time between two news of this VM under load, in milliseconds. */
-	spacingMs = 0;
+	intervalMs = 0;
 	/** How old news are at the most while all is well, in milliseconds. */
-	newsAgeMs = 0;
+	maxGossipAgeMs = 0;
 
 	constructor(private readonly opts: FleetViewOptions) {
-		this.composer = new NewsComposer(opts);
-		this.sources = new NewsSources(opts.clock);
+		this.composer = new GossipComposer(opts);
+		this.sources = new GossipSources(opts.clock);
 	}
 
 	/** VMs heard of, directly or in sums, this one included. */
 	get size(): number {
-		const heard = this.sources.heard();
-		const told = heard.reduce((sum, source) => sum + source.vms, 0);
+		const heard = this.sources.live();
+		const told = heard.reduce((sum, source) => sum + source.vmCount, 0);
 		return this.aggregator === undefined ? 1 + told : Math.max(1, told);
 	}
 
 	/** VMs that report here. */
-	get members(): NewsSource[] {
-		return this.sources.ofKind(newsKinds.report);
+	get members(): GossipSource[] {
+		return this.sources.ofKind(gossipKinds.report);
 	}
 
 	/** Other aggregators that tell their sums here. */
-	get otherAggregators(): NewsSource[] {
-		return this.sources.ofKind(newsKinds.group);
+	get otherAggregators(): GossipSource[] {
+		return this.sources.ofKind(gossipKinds.group);
 	}
 
 	/** Time between two news of the aggregator that this VM reports to, in milliseconds; undefined before any came. */
-	get sourceSpacingMs(): number | undefined {
-		return this.sources.ofKind(newsKinds.fleet)[0]?.spacingMs;
+	get aggregatorIntervalMs(): number | undefined {
+		return this.sources.ofKind(gossipKinds.fleet)[0]?.intervalMs;
 	}
 
 	/** Whether the sums of an aggregator contain reports of this VM. */
-	isAcknowledgedBy(news: PeerNews): boolean {
+	isAcknowledgedBy(news: GossipMessage): boolean {
 		return this.heardIn(news) !== undefined;
 	}
 
 	/** Whether something changed since the last news. */
-	get hasNews(): boolean {
-		return this.isChanged || this.parts.up.length > 0;
+	get hasUpdates(): boolean {
+		return this.isChanged || this.parts.upstream.length > 0;
 	}
 
 	/**
@@ -133,7 +133,7 @@
 	}
 
 	/** Peers that the store answered within this time, in milliseconds. */
-	storeReaders(withinMs: number): number {
+	countStoreReaders(withinMs: number): number {
 		return this.readers.count(withinMs, this.sinceBoot);
 	}
 
@@ -148,21 +148,21 @@
 	/** Work of the whole fleet at an engine. */
 	workAt(engineKey: string): EngineWork {
 		this.dropSilent();
-		return this.work.at(refOf(engineKey));
+		return this.work.workAt(refOf(engineKey));
 	}
 
 	/** Demand of the whole fleet. */
 	demand(): Demand {
 		const own = this.meter.read(this.now);
-		const heard = this.sources.heard();
-		const told = sumOfDemand(heard);
+		const heard = this.sources.live();
+		const told = sumDemand(heard);
 		// Sums for members contain what they reported.
 		const isContained = this.aggregator !== undefined && heard.length > 0;
 		return isContained ? told : { long: own.long + told.long, short: own.short + told.short };
 	}
 
 	/** @param workMs how long a request keeps an engine busy */
-	arrived(workMs: number, isLong: boolean): void {
+	recordArrival(workMs: number, isLong: boolean): void {
 		this.meter.add(workMs, isLong, this.now);
 	}
 
@@ -176,19 +176,19 @@
 	 * The engine will read these parts for a request of this VM, or has read them.
 	 * @param isDone the first event after them has come
 	 */
-	read(parts: readonly PromptPart[], engineKey: string, isDone: boolean): void {
-		this.parts.read(parts, engineKey, isDone, this.now);
+	recordPrefill(parts: readonly PromptPart[], engineKey: string, isDone: boolean): void {
+		this.parts.recordPrefill(parts, engineKey, isDone, this.now);
 	}
 
 	/** How much of the start of a prompt each engine is believed to keep; those that keep nothing are left out. */
-	keptBy(parts: readonly PromptPart[]): ReadonlyMap<EngineRef, KeptTokens> {
-		return this.parts.keptBy(parts, this.now);
+	cachedTokensByEngine(parts: readonly PromptPart[]): ReadonlyMap<EngineRef, CachedTokens> {
+		return this.parts.cachedTokensByEngine(parts, this.now);
 	}
 
-	engineGone(engineKey: string): void {
+	removeEngine(engineKey: string): void {
 		const ref = refOf(engineKey);
-		this.parts.forgetEngine(ref);
-		this.work.forget(ref);
+		this.parts.removeEngine(ref);
+		this.work.removeEngine(ref);
 		this.opts.costs.speeds.forgetEngine(ref);
 		for (const source of this.sources.all()) {
 			source.work.delete(ref);
@@ -196,77 +196,77 @@
 	}
 
 	/** This VM's own work, for its aggregator. */
-	takeReport(): PeerNews[] {
+	composeReport(): GossipMessage[] {
 		this.isChanged = false;
 		const work = this.work.ownRows();
 		const news = this.compose({
-			kind: newsKinds.report,
+			kind: gossipKinds.report,
 			work,
-			reads: this.parts.up,
-			heard: [],
+			cacheUpdates: this.parts.upstream,
+			reportAcks: [],
 			demand: this.meter.read(this.now),
-			vms: 1,
-			readers: this.ownReader(),
-			sumsOf: [],
+			vmCount: 1,
+			storeReaders: this.ownReader(),
+			includedVms: [],
 		});
-		this.work.reported(this.composer.seq, work);
-		this.parts.clearDown();
+		this.work.recordReport(this.composer.seq, work);
+		this.parts.clearDownstream();
 		return news;
 	}
 
 	/** Sums of this VM and its members, for the other aggregators. */
-	takeGroup(): PeerNews[] {
+	composeGroup(): GossipMessage[] {
 		this.dropSilent();
 		this.isChanged = false;
 		const members = this.members;
 		const own = this.meter.read(this.now);
-		const told = sumOfDemand(members);
+		const told = sumDemand(members);
 		return this.compose({
-			kind: newsKinds.group,
+			kind: gossipKinds.group,
 			work: this.work.groupRows(),
-			reads: this.parts.up,
-			heard: [],
+			cacheUpdates: this.parts.upstream,
+			reportAcks: [],
 			demand: { long: own.long + told.long, short: own.short + told.short },
-			vms: 1 + members.length,
-			readers: [...this.ownReader(), ...this.readers.members(this.sinceBoot)],
-			sumsOf: members.map(({ name }) => name),
+			vmCount: 1 + members.length,
+			storeReaders: [...this.ownReader(), ...this.readers.members(this.sinceBoot)],
+			includedVms: members.map(({ name }) => name),
 		});
 	}
 
 	/** Sums of the fleet, for the VMs that report here. */
-	takeFleet(): PeerNews[] {
+	composeFleet(): GossipMessage[] {
 		this.dropSilent();
 		return this.compose({
-			kind: newsKinds.fleet,
+			kind: gossipKinds.fleet,
 			work: this.work.totalRows(),
-			reads: this.parts.down,
-			heard: this.members.map(({ name, seq }) => ({ vm: refOf(name), seq })),
+			cacheUpdates: this.parts.downstream,
+			reportAcks: this.members.map(({ name, seq }) => ({ vm: refOf(name), seq })),
 			demand: this.demand(),
-			vms: this.size,
-			readers: [...this.ownReader(), ...this.readers.all(this.sinceBoot)],
-			sumsOf: this.sources.names(),
+			vmCount: this.size,
+			storeReaders: [...this.ownReader(), ...this.readers.all(this.sinceBoot)],
+			includedVms: this.sources.names(),
 		});
 	}
 
 	/** @returns whether the news tell anything that those who hear of it from this VM do not know */
-	receive(news: PeerNews): boolean {
-		if (news.from === this.opts.self || this.sources.isOlder(news)) {
+	receive(news: GossipMessage): boolean {
+		if (news.from === this.opts.self || this.sources.isStale(news)) {
 			return false;
 		}
 		const hasVersions = this.takeVersions(news);
 		if (!this.counts(news)) {
 			return hasVersions;
 		}
-		if (news.leaving && news.kind !== newsKinds.fleet) {
+		if (news.isLeaving && news.kind !== gossipKinds.fleet) {
 			this.left(news);
 			return true;
 		}
-		const isNew = this.sources.get(news.from)?.isOther(news) ?? true;
+		const isNew = this.sources.get(news.from)?.isReplacedBy(news) ?? true;
 		const source = this.sourceOf(news);
-		const hasWork = this.work.take(source, news, this.heardIn(news));
-		this.parts.take(news, this.now);
+		const hasWork = this.work.merge(source, news, this.heardIn(news));
+		this.parts.merge(news, this.now);
 		const hasAnswers = this.takeSums(news);
-		return hasVersions || isNew || hasWork || hasAnswers || news.reads.length > 0;
+		return hasVersions || isNew || hasWork || hasAnswers || news.cacheUpdates.length > 0;
 	}
 
 	/** Logs VMs that fell silent and forgets them; called each second. */
@@ -291,15 +291,15 @@
 	 * Configurations, changes in the store and engines that ended are of use whoever tells them.
 	 * @returns whether any of them is new
 	 */
-	private takeVersions(news: PeerNews): boolean {
+	private takeVersions(news: GossipMessage): boolean {
 		let isNew = news.configurationVersion > this.configurationVersion;
 		isNew = this.opts.crashes.merge(news.crashes) || isNew;
 		isNew = this.opts.limits.merge(news.limits, news.issuer) || isNew;
-		for (const reader of news.readers) {
+		for (const reader of news.storeReaders) {
 			if (reader.address !== this.opts.address) {
-				const isMember = news.kind === newsKinds.report;
-				isNew = this.readers.heard(reader, isMember, this.sinceBoot) || isNew;
-				this.opts.onStoreNews(reader.address, reader);
+				const isMember = news.kind === gossipKinds.report;
+				isNew = this.readers.merge(reader, isMember, this.sinceBoot) || isNew;
+				this.opts.onStoreStatus(reader.address, reader);
 			}
 		}
 		if (news.configurationVersion > this.configurationVersion) {
@@ -312,33 +312,33 @@
 	 * Takes in what the news tell beside work: costs, speeds and answers of failing engines.
 	 * @returns whether the answers differ from what was told before
 	 */
-	private takeSums({ from, kind, costs, speeds, answers }: PeerNews): boolean {
+	private takeSums({ from, kind, costs, speeds, answers }: GossipMessage): boolean {
 		if (costs) {
 			this.opts.costs.take(from, costs);
 		}
 		if (speeds) {
 			this.opts.costs.speeds.take(from, speeds, this.now);
 		}
-		const isTotal = kind === newsKinds.fleet;
+		const isTotal = kind === gossipKinds.fleet;
 		return answers !== undefined && this.opts.answers.take(from, answers, isTotal);
 	}
 
-	private counts(news: PeerNews): boolean {
+	private counts(news: GossipMessage): boolean {
 		const isForMe = this.aggregator === undefined || news.address === this.aggregator;
 		return isForMe && this.countsKind(news.kind);
 	}
 
-	private countsKind(kind: NewsKind): boolean {
-		return (kind === newsKinds.fleet) === (this.aggregator !== undefined);
+	private countsKind(kind: GossipKind): boolean {
+		return (kind === gossipKinds.fleet) === (this.aggregator !== undefined);
 	}
 
-	private sourceOf(news: PeerNews): NewsSource {
+	private sourceOf(news: GossipMessage): GossipSource {
 		const known = this.sources.get(news.from);
-		if (known && !known.isOther(news)) {
-			known.heard(news, this.now);
+		if (known && !known.isReplacedBy(news)) {
+			known.update(news, this.now);
 			return known;
 		}
-		if (news.kind === newsKinds.fleet) {
+		if (news.kind === gossipKinds.fleet) {
 			// The sums of another aggregator would count the same work twice.
 			this.dropAll();
 		} else if (known) {
@@ -350,24 +350,27 @@
 	}
 
 	/** The last report of this VM that the news contain. */
-	private heardIn(news: PeerNews): HeardReport | undefined {
+	private heardIn(news: GossipMessage): ReportAck | undefined {
 		const self = refOf(this.opts.self);
-		return news.heard.find(({ vm }) => vm === self);
+		return news.reportAcks.find(({ vm }) => vm === self);
 	}
 
-	private compose(content: Omit<NewsContent, 'crashes' | 'limits' | 'issuer'>): PeerNews[] {
-		const { configurationVersion, spacingMs } = this;
+	private compose(content: Omit<GossipContent, 'crashes' | 'limits' | 'issuer'>): GossipMessage[] {
+		const { configurationVersion, intervalMs: spacingMs } = this;
 		const { crashes, limits } = this.opts;
 		const shared = {
 			crashes: crashes.getReportsToSend(),
 			limits: limits.getUpdatesToSend(content.kind),
 			issuer: limits.getIssuerToSend(),
 		};
-		return this.composer.compose({ ...content, ...shared }, { configurationVersion, spacingMs });
+		return this.composer.compose(
+			{ ...content, ...shared },
+			{ configurationVersion, intervalMs: spacingMs },
+		);
 	}
 
 	private ownReader(): StoreReader[] {
-		const store = this.opts.storeNews();
+		const store = this.opts.storeStatus();
 		return store ? [{ ...store, address: this.opts.address }] : [];
 	}
 
@@ -378,7 +381,7 @@
 		}
 		this.silenceLookedAt = this.now;
 		for (const source of this.sources.silent()) {
-			this.work.drop(source);
+			this.work.removeSource(source);
 		}
 	}
 
@@ -388,16 +391,16 @@
 		}
 	}
 
-	private left(news: PeerNews): void {
+	private left(news: GossipMessage): void {
 		const source = this.sources.get(news.from);
 		if (source) {
 			this.drop(source);
 		}
-		this.sources.leaves(news);
+		this.sources.recordDeparture(news);
 	}
 
-	private drop(source: NewsSource): void {
-		this.work.drop(source);
+	private drop(source: GossipSource): void {
+		this.work.removeSource(source);
 		this.sources.remove(source);
 		this.opts.costs.forget(source.name);
 		this.opts.answers.forget(source.name);
--- a/src/core/fleet/fleet-work.ts
+++ b/src/core/fleet/fleet-work.ts
@@ -2,9 +2,9 @@
  * The fleet's work at each engine as this VM knows it, kept up as news come: its own, that of its group, and that of all.
  * @module
  */
-import type { NewsSource } from './news-source.js';
-import type { EngineRef, EngineWork, HeardReport, PeerNews } from './types.js';
-import { newsKinds } from './types.js';
+import type { GossipSource } from './gossip-source.js';
+import type { EngineRef, EngineWork, GossipMessage, ReportAck } from './types.js';
+import { gossipKinds } from './types.js';
 import type { WorkChange } from './work-sums.js';
 import { WorkSums } from './work-sums.js';
 
@@ -24,7 +24,7 @@
 	private readonly sentReports = new Map<number, Map<EngineRef, EngineWork>>();
 
 	/** Work of the whole fleet at an engine. */
-	at(engine: EngineRef): EngineWork {
+	workAt(engine: EngineRef): EngineWork {
 		return this.totals.of(engine);
 	}
 
@@ -48,7 +48,7 @@
 	}
 
 	/** Own work was told in a report of this number. */
-	reported(seq: number, work: readonly EngineWork[]): void {
+	recordReport(seq: number, work: readonly EngineWork[]): void {
 		this.sentReports.set(seq, new Map(work.map((item) => [item.engine, item])));
 		this.forgetReports(seq - maxSentReports);
 	}
@@ -63,7 +63,7 @@
 	 * @param heard the last report of this VM that the news contain; undefined when they contain none
 	 * @returns whether it differs from what the VM told before
 	 */
-	take(source: NewsSource, news: PeerNews, heard: HeardReport | undefined): boolean {
+	merge(source: GossipSource, news: GossipMessage, heard: ReportAck | undefined): boolean {
 		const reported = this.reportedIn(heard);
 		let isChanged = false;
 		for (const told of news.work) {
@@ -74,7 +74,7 @@
 	}
 
 	/** @returns whether the work at the engine differs from what was told before */
-	private replace(source: NewsSource, item: EngineWork): boolean {
+	private replace(source: GossipSource, item: EngineWork): boolean {
 		const before = source.work.get(item.engine);
 		if (before?.running === item.running && before.promptTokens === item.promptTokens) {
 			return false;
@@ -91,8 +91,8 @@
 	 * Engines that the news speak for and do not name have no work of the source.
 	 * @returns whether there were any
 	 */
-	private dropOthers(source: NewsSource, news: PeerNews): boolean {
-		const known = source.worksWithin(news.engines);
+	private dropOthers(source: GossipSource, news: GossipMessage): boolean {
+		const known = source.workInRange(news.engines);
 		if (known.length === news.work.length) {
 			return false;
 		}
@@ -105,7 +105,7 @@
 	}
 
 	/** What a VM told no longer counts. */
-	drop(source: NewsSource): void {
+	removeSource(source: GossipSource): void {
 		for (const item of source.work.values()) {
 			this.addOf(source, item, -1);
 		}
@@ -113,9 +113,9 @@
 	}
 
 	/** The engine is gone. */
-	forget(engine: EngineRef): void {
+	removeEngine(engine: EngineRef): void {
 		for (const sums of [this.own, this.group, this.totals]) {
-			sums.forget(engine);
+			sums.removeEngine(engine);
 		}
 		for (const report of this.sentReports.values()) {
 			report.delete(engine);
@@ -126,7 +126,7 @@
 	 * Sums for members contain what this VM had reported; its work of now is counted here. The report itself is kept: it
 	 * is taken off each part of the news, and repeated ones.
 	 */
-	private reportedIn(heard: HeardReport | undefined): Map<EngineRef, EngineWork> | undefined {
+	private reportedIn(heard: ReportAck | undefined): Map<EngineRef, EngineWork> | undefined {
 		const reported = heard && this.sentReports.get(heard.seq);
 		if (reported) {
 			this.forgetReports(heard.seq - 1);
@@ -143,9 +143,9 @@
 		}
 	}
 
-	private addOf(source: NewsSource, item: EngineWork, sign = 1): void {
+	private addOf(source: GossipSource, item: EngineWork, sign = 1): void {
 		this.totals.add(item.engine, item, sign);
-		if (source.kind === newsKinds.report) {
+		if (source.kind === gossipKinds.report) {
 			this.group.add(item.engine, item, sign);
 		}
 	}
--- a/src/core/fleet/news-composer.ts
+++ b/src/core/fleet/gossip-composer.ts
@@ -8,14 +8,14 @@
 import type { AnswerNews } from '../engines/fleet-health.js';
 import type { IssuerAnnouncement, LimitUpdate } from '../limits/types.js';
 import type { CrashReport } from '../quarantine/types.js';
-import { cutNews } from './news-parts.js';
+import { splitIntoDatagrams } from './gossip-splitter.js';
 import type {
+	CacheUpdate,
 	Demand,
 	EngineWork,
-	HeardReport,
-	NewsKind,
-	PartRead,
-	PeerNews,
+	GossipKind,
+	GossipMessage,
+	ReportAck,
 	StoreReader,
 } from './types.js';
 
@@ -29,55 +29,63 @@
 const mostSpeeds = 24;
 
 /** What differs between the kinds of news. */
-export interface NewsContent {
-	kind: NewsKind;
+export interface GossipContent {
+	kind: GossipKind;
 	work: EngineWork[];
 	/** Those that fit are taken out. */
-	reads: PartRead[];
-	heard: HeardReport[];
+	cacheUpdates: CacheUpdate[];
+	reportAcks: ReportAck[];
 	demand: Demand;
-	vms: number;
-	readers: StoreReader[];
+	vmCount: number;
+	storeReaders: StoreReader[];
 	/** VMs whose costs, and answers of failing engines, are added to those that this VM has seen. */
-	sumsOf: readonly string[];
+	includedVms: readonly string[];
 	crashes: CrashReport[];
 	limits: LimitUpdate[];
 	issuer?: IssuerAnnouncement;
 }
 
 /** What is the same in all news of a moment. */
-export interface NewsHead {
+export interface GossipHeader {
 	configurationVersion: number;
-	spacingMs: number;
+	intervalMs: number;
 }
 
-export interface NewsComposerOptions {
+export interface GossipComposerOptions {
 	self: string;
 	/** Where peers may fetch the configuration, as IP:PORT. */
 	address: string;
 	/** Tells this process from an earlier one of the same VM. */
-	life: number;
+	incarnation: number;
 	clock: Clock;
 	costs: CostModel;
 	/** Answers of engines that fail. */
 	answers: AnswerNews;
 }
 
-export class NewsComposer {
-	private readonly costsToldAt = new Map<NewsKind, number>();
-	private readonly speedsToldAt = new Map<NewsKind, number>();
+export class GossipComposer {
+	private readonly costsToldAt = new Map<GossipKind, number>();
+	private readonly speedsToldAt = new Map<GossipKind, number>();
 	private lastSeq = 0;
 
-	constructor(private readonly opts: NewsComposerOptions) {}
+	constructor(private readonly opts: GossipComposerOptions) {}
 
 	/** Number of the last news. */
 	get seq(): number {
 		return this.lastSeq;
 	}
 
-	compose(content: NewsContent, head: NewsHead): PeerNews[] {
-		const { work, reads, heard, sumsOf, crashes, limits, ...rest } = content;
-		const { self, address, life } = this.opts;
+	compose(content: GossipContent, head: GossipHeader): GossipMessage[] {
+		const {
+			work,
+			cacheUpdates: reads,
+			reportAcks,
+			includedVms: sumsOf,
+			crashes,
+			limits,
+			...rest
+		} = content;
+		const { self, address, incarnation } = this.opts;
 		const { kind } = rest;
 		const answers = this.opts.answers.export(sumsOf);
 		const costs = this.isDue(this.costsToldAt, kind, costsMs)
@@ -93,16 +101,16 @@
 			speeds: speedRows(speeds),
 		};
 		this.lastSeq++;
-		return cutNews(work, reads, heard, rows).map((part, at) => ({
+		return splitIntoDatagrams(work, reads, reportAcks, rows).map((part, at) => ({
 			...rest,
 			...part,
 			...head,
 			from: self,
-			life,
+			incarnation,
 			seq: this.lastSeq,
 			address,
-			leaving: false,
-			heard,
+			isLeaving: false,
+			reportAcks,
 			costs: at === 0 ? costs : undefined,
 			answers: at === 0 ? answers : undefined,
 			speeds: at === 0 ? speeds : undefined,
@@ -116,7 +124,7 @@
 	}
 
 	/** Whether what is told each `everyMs` is to go along with news of a kind. */
-	private isDue(toldAt: Map<NewsKind, number>, kind: NewsKind, everyMs: number): boolean {
+	private isDue(toldAt: Map<GossipKind, number>, kind: GossipKind, everyMs: number): boolean {
 		const isDue = this.now - (toldAt.get(kind) ?? -everyMs) >= everyMs;
 		if (isDue) {
 			toldAt.set(kind, this.now);
--- a/src/core/fleet/news-exchange.ts
+++ b/src/core/fleet/gossip-exchange.ts
@@ -4,13 +4,13 @@
  */
 import type { Clock, Log } from '../definitions.js';
 import type { HostPort } from '../relay/settings.js';
-import type { AggregatorSelection, ListedVm } from './aggregator-selection.js';
+import type { AggregatorSelection, RegisteredVm } from './aggregator-selection.js';
 import { addressOf, parseAddress } from './aggregator-selection.js';
 import type { FleetView } from './fleet-view.js';
-import type { LanePace } from './news-lane.js';
-import { NewsLane } from './news-lane.js';
-import type { PeerNews } from './types.js';
-import { newsKinds } from './types.js';
+import type { GossipIntervals } from './gossip-schedule.js';
+import { GossipSchedule } from './gossip-schedule.js';
+import type { GossipMessage } from './types.js';
+import { gossipKinds } from './types.js';
 
 /** Least time between two news of a VM to the same ones, in milliseconds, in a small fleet where each tells all others. */
 const leastSpacingMs = 10;
@@ -43,17 +43,17 @@
 /** Another aggregator is passed over when it was silent for so long, in milliseconds. */
 const otherSilentMs = 1000;
 
-export interface NewsExchangeOptions {
+export interface GossipExchangeOptions {
 	clock: Clock;
 	log: Log;
 	fleet: FleetView;
 	selection: AggregatorSelection;
 	self: HostPort;
 	/** Other VMs that are registered. */
-	listed: () => readonly ListedVm[];
+	otherVms: () => readonly RegisteredVm[];
 	/** VMs to ask before any is known. */
 	seeds: () => readonly HostPort[];
-	send: (to: readonly HostPort[], news: PeerNews) => void;
+	send: (to: readonly HostPort[], news: GossipMessage) => void;
 }
 
 /** A VM that this one tells news, and since when; undefined `heardAt` before it answered. */
@@ -62,17 +62,17 @@
 	heardAt?: number;
 }
 
-export class NewsExchange {
+export class GossipExchange {
 	/** The aggregator that this VM reports to; undefined while it is one itself. */
 	private aggregator?: string;
 	private readonly told = new Map<string, Told>();
 	/** News for the aggregator, or for the other aggregators. */
-	private readonly up = new NewsLane();
+	private readonly up = new GossipSchedule();
 	/** News for the VMs that report here. */
-	private readonly down = new NewsLane();
+	private readonly down = new GossipSchedule();
 	private acknowledgedAt = Number.NEGATIVE_INFINITY;
 
-	constructor(private readonly opts: NewsExchangeOptions) {}
+	constructor(private readonly opts: GossipExchangeOptions) {}
 
 	/** Monotonic milliseconds at which `run` should be called next. */
 	get dueAt(): number {
@@ -81,18 +81,18 @@
 	}
 
 	/** How long no news were sent, in milliseconds. */
-	get silentForMs(): number {
-		return this.now - this.up.sentAt;
+	get sinceLastSendMs(): number {
+		return this.now - this.up.lastSentAt;
 	}
 
 	/** Something changed that others should know. */
-	changed(): void {
-		this.up.changed();
-		this.down.changed();
+	markChanged(): void {
+		this.up.markChanged();
+		this.down.markChanged();
 	}
 
 	/** Sends news that are due. */
-	run(): void {
+	sendDue(): void {
 		const { now } = this;
 		if (now >= this.up.dueAt(this.upPace)) {
 			this.sendUp();
@@ -110,11 +110,11 @@
 		}
 	}
 
-	receive(news: PeerNews): void {
+	receive(news: GossipMessage): void {
 		const { fleet } = this.opts;
 		this.noteHeard(news);
 		let isChanged = fleet.receive(news);
-		if (news.kind === newsKinds.report && !news.leaving && this.aggregator !== undefined) {
+		if (news.kind === gossipKinds.report && !news.isLeaving && this.aggregator !== undefined) {
 			// Another VM took this one for its aggregator, so it is one.
 			this.setAggregator(undefined);
 			this.chooseOthers();
@@ -130,64 +130,64 @@
 	 * Told back and forth, four aggregators of an idle fleet of 16 VMs sent each other 50 datagrams a second and took a
 	 * tenth of a core each.
 	 */
-	private passOn(news: PeerNews): void {
-		if (news.kind === newsKinds.report) {
-			this.up.changed();
+	private passOn(news: GossipMessage): void {
+		if (news.kind === gossipKinds.report) {
+			this.up.markChanged();
 		}
-		this.down.changed();
+		this.down.markChanged();
 	}
 
 	/** This VM stops: it serves its members until they report to another, and then reports to another itself. */
 	retire(): void {
-		this.opts.selection.retired = true;
+		this.opts.selection.isRetired = true;
 		this.update();
 		this.sendNow();
 	}
 
 	/** Looks anew who gathers this VM's news; called several times a second. */
 	update(): void {
-		const { selection, fleet, listed } = this.opts;
+		const { selection, fleet, otherVms: listed } = this.opts;
 		selection.update(listed());
 		this.passOverSilent();
 		const serves = fleet.members.length > 0;
 		this.setAggregator(serves ? undefined : this.chosen());
 		if (this.aggregator === undefined) {
 			this.chooseOthers();
-		} else if (this.silentForMs >= quietReportMs) {
+		} else if (this.sinceLastSendMs >= quietReportMs) {
 			this.sendUp();
 		}
 	}
 
 	private sendUp(): void {
 		const { fleet } = this.opts;
-		this.up.sentNow(this.now);
+		this.up.markSent(this.now);
 		this.tellPace();
 		if (this.aggregator !== undefined) {
-			this.send([parseAddress(this.aggregator)], fleet.takeReport());
+			this.send([parseAddress(this.aggregator)], fleet.composeReport());
 		} else {
-			this.send([...this.told.keys()].map(parseAddress), fleet.takeGroup());
+			this.send([...this.told.keys()].map(parseAddress), fleet.composeGroup());
 		}
 	}
 
 	private sendDown(): void {
 		const { fleet, selection } = this.opts;
-		this.down.sentNow(this.now);
+		this.down.markSent(this.now);
 		this.tellPace();
 		const members = fleet.members.map(({ address }) => parseAddress(address));
-		const leaving = selection.retired;
+		const isLeaving = selection.isRetired;
 		this.send(
 			members,
-			fleet.takeFleet().map((news) => ({ ...news, leaving })),
+			fleet.composeFleet().map((news) => ({ ...news, isLeaving })),
 		);
 	}
 
 	private tellPace(): void {
 		const { fleet } = this.opts;
-		fleet.spacingMs = Math.max(
-			this.upPace.spacingMs,
-			this.hasMembers ? this.downPace.spacingMs : 0,
+		fleet.intervalMs = Math.max(
+			this.upPace.minIntervalMs,
+			this.hasMembers ? this.downPace.minIntervalMs : 0,
 		);
-		fleet.newsAgeMs = this.newsAgeMs;
+		fleet.maxGossipAgeMs = this.newsAgeMs;
 	}
 
 	private get hasMembers(): boolean {
@@ -201,14 +201,14 @@
 	/** Tells the other aggregators: those chosen, and those that tell their sums here. */
 	private chooseOthers(): void {
 		const { selection, fleet } = this.opts;
-		const chosen = selection.others(this.now).map(addressOf);
+		const chosen = selection.otherAggregators(this.now).map(addressOf);
 		const heard = fleet.otherAggregators.map(({ address }) => address);
 		const all = new Set([...chosen, ...heard]);
 		all.delete(addressOf(this.opts.self));
 		for (const address of all) {
 			if (!this.told.has(address)) {
 				this.told.set(address, { since: this.now });
-				this.up.changed();
+				this.up.markChanged();
 			}
 		}
 		for (const address of this.told.keys()) {
@@ -218,37 +218,37 @@
 		}
 	}
 
-	private get upPace(): LanePace {
+	private get upPace(): GossipIntervals {
 		if (this.aggregator !== undefined) {
-			return { spacingMs: reportSpacingMs, quietMs: latestReportMs };
+			return { minIntervalMs: reportSpacingMs, maxIntervalMs: latestReportMs };
 		}
-		const least = this.opts.selection.isSmall ? leastSpacingMs : leastBetweenAggregatorsMs;
-		return { spacingMs: spacingOf(this.told.size, least), quietMs };
+		const least = this.opts.selection.isSmallFleet ? leastSpacingMs : leastBetweenAggregatorsMs;
+		return { minIntervalMs: spacingOf(this.told.size, least), maxIntervalMs: quietMs };
 	}
 
 	/** Grows with those that are told. */
-	private get downPace(): LanePace {
+	private get downPace(): GossipIntervals {
 		const spacingMs = spacingOf(this.opts.fleet.members.length, leastToMembersMs);
-		return { spacingMs, quietMs: aggregatorQuietMs };
+		return { minIntervalMs: spacingMs, maxIntervalMs: aggregatorQuietMs };
 	}
 
 	/** From a VM to its aggregator, to another aggregator, to its members; in a small fleet from VM to VM. */
 	private get newsAgeMs(): number {
 		const { fleet, selection } = this.opts;
 		if (this.aggregator !== undefined) {
-			return reportSpacingMs + leastBetweenAggregatorsMs + (fleet.sourceSpacingMs ?? 0);
+			return reportSpacingMs + leastBetweenAggregatorsMs + (fleet.aggregatorIntervalMs ?? 0);
 		}
-		return this.upPace.spacingMs + (selection.isSmall ? 0 : reportSpacingMs);
+		return this.upPace.minIntervalMs + (selection.isSmallFleet ? 0 : reportSpacingMs);
 	}
 
 	/** Who should gather this VM's news; undefined for itself. */
 	private chosen(): string | undefined {
 		const { selection, self } = this.opts;
-		if (!selection.knowsOthers) {
+		if (!selection.hasOthers) {
 			const seeds = this.opts.seeds().map(addressOf);
-			return seeds.find((seed) => !selection.isPassedOver(seed, this.now));
+			return seeds.find((seed) => !selection.isExcluded(seed, this.now));
 		}
-		const address = addressOf(selection.own(this.now).address);
+		const address = addressOf(selection.chooseAggregator(this.now).address);
 		return address === addressOf(self) ? undefined : address;
 	}
 
@@ -270,28 +270,28 @@
 		const { fleet } = this.opts;
 		const isMember = this.aggregator !== undefined;
 		const to = isMember ? [this.aggregator as string] : [...this.told.keys()];
-		const [news] = isMember ? fleet.takeReport() : fleet.takeGroup();
+		const [news] = isMember ? fleet.composeReport() : fleet.composeGroup();
 		if (news && to.length > 0) {
-			this.opts.send(to.map(parseAddress), { ...news, work: [], leaving: true });
+			this.opts.send(to.map(parseAddress), { ...news, work: [], isLeaving: true });
 		}
 	}
 
-	private noteHeard(news: PeerNews): void {
+	private noteHeard(news: GossipMessage): void {
 		const told = this.told.get(news.address);
 		if (told) {
 			told.heardAt = this.now;
-			this.opts.selection.serves(news.address);
+			this.opts.selection.readmit(news.address);
 		}
-		if (news.address !== this.aggregator || news.kind !== newsKinds.fleet) {
+		if (news.address !== this.aggregator || news.kind !== gossipKinds.fleet) {
 			return;
 		}
-		if (news.leaving) {
-			this.opts.selection.passOver(news.address, this.now);
+		if (news.isLeaving) {
+			this.opts.selection.exclude(news.address, this.now);
 			this.setAggregator(this.chosen());
-			this.changed();
+			this.markChanged();
 		} else if (this.opts.fleet.isAcknowledgedBy(news)) {
 			this.acknowledgedAt = this.now;
-			this.opts.selection.serves(news.address);
+			this.opts.selection.readmit(news.address);
 		}
 	}
 
@@ -299,17 +299,17 @@
 		const { now, aggregator } = this;
 		const { selection } = this.opts;
 		if (aggregator !== undefined && now - this.acknowledgedAt > silentMs) {
-			selection.passOver(aggregator, now);
+			selection.exclude(aggregator, now);
 			this.acknowledgedAt = now;
 		}
 		for (const [address, { since, heardAt }] of this.told) {
-			if (now - (heardAt ?? since) > otherSilentMs && !selection.isPassedOver(address, now)) {
-				selection.passOver(address, now);
+			if (now - (heardAt ?? since) > otherSilentMs && !selection.isExcluded(address, now)) {
+				selection.exclude(address, now);
 			}
 		}
 	}
 
-	private send(to: readonly HostPort[], news: readonly PeerNews[]): void {
+	private send(to: readonly HostPort[], news: readonly GossipMessage[]): void {
 		if (to.length > 0) {
 			for (const one of news) {
 				this.opts.send(to, one);
--- a/src/core/fleet/news-source.ts
+++ b/src/core/fleet/gossip-source.ts
@@ -2,15 +2,22 @@
  * What this VM holds of one VM that it hears directly.
  * @module
  */
-import { endOfRefs, isWithin } from './news-parts.js';
-import type { Demand, EngineRange, EngineRef, EngineWork, NewsKind, PeerNews } from './types.js';
+import { isInRange, refSpaceEnd } from './gossip-splitter.js';
+import type {
+	Demand,
+	EngineRange,
+	EngineRef,
+	EngineWork,
+	GossipKind,
+	GossipMessage,
+} from './types.js';
 
-export class NewsSource {
+export class GossipSource {
 	readonly work = new Map<EngineRef, EngineWork>();
 
 	/** @param lastAt when the last news came, in monotonic milliseconds */
 	constructor(
-		private last: PeerNews,
+		private last: GossipMessage,
 		private lastAt: number,
 	) {}
 
@@ -23,7 +30,7 @@
 		return this.last.address;
 	}
 
-	get kind(): NewsKind {
+	get kind(): GossipKind {
 		return this.last.kind;
 	}
 
@@ -32,8 +39,8 @@
 	}
 
 	/** VMs that it speaks for. */
-	get vms(): number {
-		return this.last.vms;
+	get vmCount(): number {
+		return this.last.vmCount;
 	}
 
 	get demand(): Demand {
@@ -41,36 +48,36 @@
 	}
 
 	/** Time between two of its news under load, in milliseconds. */
-	get spacingMs(): number {
-		return this.last.spacingMs;
+	get intervalMs(): number {
+		return this.last.intervalMs;
 	}
 
 	/** When its last news came, in monotonic milliseconds. */
-	get heardAt(): number {
+	get receivedAt(): number {
 		return this.lastAt;
 	}
 
 	/** Whether the news are older than what is held; parts of one moment may come in any order, or again. */
-	isOlder(news: PeerNews): boolean {
-		return news.life === this.last.life && news.seq < this.last.seq;
+	isStale(news: GossipMessage): boolean {
+		return news.incarnation === this.last.incarnation && news.seq < this.last.seq;
 	}
 
 	/** Whether they speak for something else: another life of the process, or another role. */
-	isOther(news: PeerNews): boolean {
-		return news.life !== this.last.life || news.kind !== this.last.kind;
+	isReplacedBy(news: GossipMessage): boolean {
+		return news.incarnation !== this.last.incarnation || news.kind !== this.last.kind;
 	}
 
 	/** Takes the head of the news; their work is taken in elsewhere. */
-	heard(news: PeerNews, now: number): void {
+	update(news: GossipMessage, now: number): void {
 		this.last = news;
 		this.lastAt = now;
 	}
 
 	/** Work at the engines of a range. */
-	worksWithin(range: EngineRange): EngineWork[] {
+	workInRange(range: EngineRange): EngineWork[] {
 		const all = [...this.work.values()];
-		return range.from === 0 && range.to >= endOfRefs
+		return range.from === 0 && range.to >= refSpaceEnd
 			? all
-			: all.filter(({ engine }) => isWithin(engine, range));
+			: all.filter(({ engine }) => isInRange(engine, range));
 	}
 }
--- a/src/core/fleet/prompt-cache-map.ts
+++ b/src/core/fleet/prefix-cache-map.ts
@@ -2,7 +2,7 @@
  * Which engines have read which parts of prompts lately, as far as this VM and its peers know.
  * @module
  */
-import type { EngineRef, PartRead, PartRef } from './types.js';
+import type { CacheUpdate, EngineRef, SegmentRef } from './types.js';
 
 /**
  * An engine is taken to keep a part for so long after its last use, in milliseconds: memory for
@@ -19,13 +19,13 @@
 const maxParts = 20_000;
 
 /** A part of a prompt, by the number that stands for it. */
-export interface KnownPart {
-	ref: PartRef;
+export interface HashedSegment {
+	ref: SegmentRef;
 	tokens: number;
 }
 
 /** Tokens at the start of a prompt. */
-export interface KeptTokens {
+export interface CachedTokens {
 	/** That the engine keeps, or is about to read. */
 	cached: number;
 	/** That other engines can copy from it. */
@@ -42,17 +42,20 @@
 }
 
 /** What was known of a part at an engine before. */
-export interface KnownUse {
+export interface PreviousUse {
 	/** Milliseconds since its last use. */
 	ageMs: number;
-	isDone: boolean;
+	isPrefilled: boolean;
 }
 
-export class PromptCacheMap {
-	private readonly parts = new Map<PartRef, Map<EngineRef, Use>>();
+export class PrefixCacheMap {
+	private readonly parts = new Map<SegmentRef, Map<EngineRef, Use>>();
 
 	/** @returns what was known of it before; undefined when nothing that still counts */
-	note({ part, engine, isDone }: PartRead, now: number): KnownUse | undefined {
+	record(
+		{ segment: part, engine, isPrefilled: isDone }: CacheUpdate,
+		now: number,
+	): PreviousUse | undefined {
 		let readers = this.parts.get(part);
 		if (!readers) {
 			readers = new Map();
@@ -70,7 +73,7 @@
 			isDone: isDone || before?.isDone === true,
 		});
 		this.dropOldest();
-		return before && { ageMs: now - before.lastAt, isDone: before.isDone };
+		return before && { ageMs: now - before.lastAt, isPrefilled: before.isDone };
 	}
 
 	/**
@@ -78,8 +81,8 @@
 	 * those that read its first part, so a prompt costs little in a large fleet.
 	 * @param parts in the order of the prompt
 	 */
-	keptBy(parts: readonly KnownPart[], now: number): Map<EngineRef, KeptTokens> {
-		const kept = new Map<EngineRef, KeptTokens>();
+	cachedTokensByEngine(parts: readonly HashedSegment[], now: number): Map<EngineRef, CachedTokens> {
+		const kept = new Map<EngineRef, CachedTokens>();
 		const [first] = parts;
 		const readers = first && this.parts.get(first.ref);
 		for (const engine of readers?.keys() ?? []) {
@@ -91,7 +94,7 @@
 		return kept;
 	}
 
-	private keptAt(engine: EngineRef, parts: readonly KnownPart[], now: number): KeptTokens {
+	private keptAt(engine: EngineRef, parts: readonly HashedSegment[], now: number): CachedTokens {
 		const tokens = { cached: 0, copyable: 0 };
 		let isCopyable = true;
 		for (const part of parts) {
@@ -107,7 +110,7 @@
 	}
 
 	/** The engine's memory is gone. */
-	forgetEngine(engine: EngineRef): void {
+	removeEngine(engine: EngineRef): void {
 		for (const readers of this.parts.values()) {
 			readers.delete(engine);
 		}
@@ -115,7 +118,7 @@
 
 	private dropOldest(): void {
 		if (this.parts.size > maxParts) {
-			const oldest = this.parts.keys().next().value as PartRef;
+			const oldest = this.parts.keys().next().value as SegmentRef;
 			this.parts.delete(oldest);
 		}
 	}
--- a/src/core/fleet/reader-selection.ts
+++ b/src/core/fleet/reader-selection.ts
@@ -13,9 +13,9 @@
 /** VMs that read the store for the others; changes still come while three of them are cut off. */
 const readerCount = 4;
 /** A peer reads the store if the store answered it within this time, in milliseconds; it proves that each half second. */
-export const freshContactMs = 1500;
+export const maxContactAgeMs = 1500;
 /** A VM that reads for others tells them so often at least, in milliseconds: three are lost before it seems cut off. */
-export const tellReadersMs = 400;
+export const maxReaderSilenceMs = 400;
 /** While no VM is heard that the store answers, so many more try each time so long has passed, in milliseconds. */
 const takeOverMs = 2000;
 /** A VM that hears fewer than this share of the others is cut off from them: nobody reads for it. */
@@ -42,12 +42,12 @@
 	 * VMs heard of now, this one included.
 	 * @default 1
 	 */
-	heardVms?: number;
+	liveVms?: number;
 	/**
 	 * This VM acts for the whole fleet: it goes on reading, and the others hear of it.
 	 * @default false
 	 */
-	holdsDuty?: boolean;
+	isDutyHolder?: boolean;
 }
 
 export class ReaderSelection {
@@ -71,7 +71,7 @@
 
 	/** Looks at the fleet anew; called several times a second. */
 	update(fleet: FleetSnapshot, now: number): void {
-		const { names, freshReaders, heardVms = 1, holdsDuty = false } = fleet;
+		const { names, freshReaders, liveVms: heardVms = 1, isDutyHolder: holdsDuty = false } = fleet;
 		this.startedAt ??= now;
 		this.fleetSize = names.length;
 		if (names !== this.names) {
@@ -106,7 +106,7 @@
 	}
 
 	/** Whether other VMs rely on what this one reads: they must hear of it also when nothing changes. */
-	get isReliedOn(): boolean {
+	get isReadingForOthers(): boolean {
 		return this.reads && this.fleetSize > smallFleetSize;
 	}
 
@@ -116,7 +116,7 @@
 	}
 
 	/** Time between two renewals of the registration, in milliseconds. */
-	get renewMs(): number {
+	get renewalIntervalMs(): number {
 		if (this.fleetSize <= smallFleetSize) {
 			return renewMs;
 		}
--- a/src/core/fleet/store-readers.ts
+++ b/src/core/fleet/store-readers.ts
@@ -25,7 +25,7 @@
 	 * @param isMember it told so itself, in its report
 	 * @returns whether it is new, or tells of other engines than before; a revision rises with each heartbeat of an engine
 	 */
-	heard(reader: StoreReader, isMember: boolean, now: number): boolean {
+	merge(reader: StoreReader, isMember: boolean, now: number): boolean {
 		const contactAt = now - reader.contactAgeMs;
 		const before = this.known.get(reader.address);
 		if (before && contactAt < before.contactAt) {
--- a/src/core/fleet/types.ts
+++ b/src/core/fleet/types.ts
@@ -14,7 +14,7 @@
 /** 32 bits that stand for a VM's name in messages. */
 export type VmRef = number;
 /** 32 bits that stand for a prompt part's id in messages. */
-export type PartRef = number;
+export type SegmentRef = number;
 
 /** Work of one VM, or several, at one engine. */
 export interface EngineWork {
@@ -26,11 +26,11 @@
 }
 
 /** An engine will read a part of a prompt, or has read it. */
-export interface PartRead {
-	part: PartRef;
+export interface CacheUpdate {
+	segment: SegmentRef;
 	engine: EngineRef;
 	/** It has: other engines can copy the part from it. */
-	isDone: boolean;
+	isPrefilled: boolean;
 }
 
 /** Work that callers bring, in engines kept busy by it. */
@@ -41,7 +41,7 @@
 }
 
 /** What a VM that reads the store tells of it. */
-export interface StoreNews {
+export interface StoreStatus {
 	/** Milliseconds since the store last answered this VM. */
 	contactAgeMs: number;
 	/** Revision that its list of engines shows. */
@@ -53,13 +53,13 @@
 }
 
 /** A VM that reads the store, and what it tells. */
-export interface StoreReader extends StoreNews {
+export interface StoreReader extends StoreStatus {
 	/** Where it serves copies of what it read, as IP:PORT. */
 	address: string;
 }
 
 /** What a datagram between VMs speaks for. */
-export const newsKinds = {
+export const gossipKinds = {
 	/** A VM's own work, for its aggregator. */
 	report: 'report',
 	/** Sums of an aggregator and the VMs that report to it, for the other aggregators. */
@@ -67,7 +67,7 @@
 	/** Sums of the whole fleet, for the VMs that report to the sender. */
 	fleet: 'fleet',
 } as const;
-export type NewsKind = (typeof newsKinds)[keyof typeof newsKinds];
+export type GossipKind = (typeof gossipKinds)[keyof typeof gossipKinds];
 
 /** Engines that a datagram speaks for: those from one number up to, but not with, another. */
 export interface EngineRange {
@@ -76,17 +76,17 @@
 }
 
 /** The last report that an aggregator has taken in of a VM. */
-export interface HeardReport {
+export interface ReportAck {
 	vm: VmRef;
 	seq: number;
 }
 
 /** One datagram between VMs: whole state of the engines that it speaks for, so that a lost one is repaired by the next. */
-export interface PeerNews {
-	kind: NewsKind;
+export interface GossipMessage {
+	kind: GossipKind;
 	from: string;
 	/** Changes with each start of the process. */
-	life: number;
+	incarnation: number;
 	/** Rises with each moment that is told; older ones that come late are dropped. */
 	seq: number;
 	/** Configuration in force at the sender. */
@@ -94,15 +94,15 @@
 	/** The sender's port and address for news, configurations and engines. */
 	address: string;
 	/** The sender stops, or will report to another VM. */
-	leaving: boolean;
+	isLeaving: boolean;
 	/** Time between two news of the sender under load, in milliseconds. */
-	spacingMs: number;
+	intervalMs: number;
 	/** VMs that it speaks for. */
-	vms: number;
+	vmCount: number;
 	engines: EngineRange;
 	/** Engines of the range that have work. */
 	work: EngineWork[];
-	reads: PartRead[];
+	cacheUpdates: CacheUpdate[];
 	demand: Demand;
 	/** What is known of the costs of work; now and then. */
 	costs?: CostSums[];
@@ -111,9 +111,9 @@
 	/** What was lately seen of single engines' speed; several times a second. */
 	speeds?: SpeedSums[];
 	/** VMs that the store answered lately. */
-	readers: StoreReader[];
+	storeReaders: StoreReader[];
 	/** Reports that the sums contain. */
-	heard: HeardReport[];
+	reportAcks: ReportAck[];
 	/** Engines that ended, and contents that were there then. */
 	crashes: CrashReport[];
 	/** Requests a second that engines take from all VMs together. */
--- a/src/core/fleet/vm-registry.ts
+++ b/src/core/fleet/vm-registry.ts
@@ -6,7 +6,7 @@
 import type { Store, StoreItem } from '../store/definitions.js';
 import { StoreError, storeFailures } from '../store/definitions.js';
 import { storedRevision } from '../store/revisions.js';
-import type { ListedVm } from './aggregator-selection.js';
+import type { RegisteredVm } from './aggregator-selection.js';
 import { addressOf, parseAddress } from './aggregator-selection.js';
 
 /** The registration ends so long after the last renewal, in milliseconds; a VM that starts anew within it goes on with it. */
@@ -45,28 +45,28 @@
 	/** Prefix of the keys of all VMs. */
 	prefix: string;
 	/** What the others are told of this VM. */
-	self: ListedVm;
+	self: RegisteredVm;
 	sleep: (ms: number) => Promise<void>;
 	/**
 	 * Time between renewals now, in milliseconds. They also show that the store is reached: a watch that
 	 * hangs on a dead connection is dropped at the first that fails.
 	 */
-	renewMs: () => number;
+	renewalIntervalMs: () => number;
 	/** Whether others try to read the store for this VM, and it answers none of them. */
-	isStoreAway: () => boolean;
+	isStoreUnavailable: () => boolean;
 	/** A renewal failed: what else waits for the store may hang as well. */
-	onUnreachable: () => void;
+	onStoreUnreachable: () => void;
 }
 
 interface Listed {
-	vm: ListedVm;
+	vm: RegisteredVm;
 	/** Set when the registration ended. */
 	goneAt?: number;
 }
 
 export class VmRegistry {
 	private readonly listed = new Map<string, Listed>();
-	private cachedOthers: ListedVm[] = [];
+	private cachedOthers: RegisteredVm[] = [];
 	private cachedNames: string[] = [];
 	/** When the list of others may change by itself, in monotonic milliseconds. */
 	private othersUntil = Number.NEGATIVE_INFINITY;
@@ -88,7 +88,7 @@
 	}
 
 	/** The other VMs; the same list until it changes, since it is asked for often. */
-	others(): readonly ListedVm[] {
+	others(): readonly RegisteredVm[] {
 		const now = this.opts.clock.monotonic();
 		if (now >= this.othersUntil) {
 			this.listOthers(now);
@@ -116,7 +116,7 @@
 	}
 
 	/** Registers and renews until stopped. */
-	async keep(): Promise<void> {
+	async run(): Promise<void> {
 		while (!this.stopped) {
 			try {
 				await this.step();
@@ -140,7 +140,7 @@
 	}
 
 	/** The store came back from an older copy, which may lack the registration though its lease runs on. */
-	restored(): void {
+	scheduleRewrite(): void {
 		const { clock, random } = this.opts;
 		this.writeAgainAt = clock.sinceBoot() + random.next() * writeAgainMs;
 	}
@@ -210,7 +210,7 @@
 	}
 
 	private async untilRetry(): Promise<void> {
-		const { clock, random, sleep, isStoreAway } = this.opts;
+		const { clock, random, sleep, isStoreUnavailable: isStoreAway } = this.opts;
 		const until = clock.monotonic() + outageRetryMs;
 		do {
 			await sleep(retryMs * (0.5 + random.next()));
@@ -225,11 +225,11 @@
 		const jitter = 0.9 + 0.2 * this.opts.random.next();
 		const since = this.opts.clock.sinceBoot();
 		do {
-			await this.opts.sleep(Math.min(lookMs, this.opts.renewMs()) * jitter);
+			await this.opts.sleep(Math.min(lookMs, this.opts.renewalIntervalMs()) * jitter);
 		} while (
 			!this.stopped &&
 			!this.mustWriteAgain &&
-			this.opts.clock.sinceBoot() - since < this.opts.renewMs() * jitter - 1
+			this.opts.clock.sinceBoot() - since < this.opts.renewalIntervalMs() * jitter - 1
 		);
 	}
 
@@ -256,7 +256,7 @@
 			this.leaseBefore = undefined;
 		}
 		this.opts.log.warn('vm.renewal-failed', { reason: err.failure, error: err.message });
-		this.opts.onUnreachable();
+		this.opts.onStoreUnreachable();
 	}
 
 	private put(item: StoreItem): void {
@@ -287,14 +287,14 @@
 }
 
 /** "IP:PORT CORES DOMAIN". */
-function encodeVm({ address, cores, domain }: ListedVm): string {
+function encodeVm({ address, cores, domain }: RegisteredVm): string {
 	return `${addressOf(address)} ${cores} ${domain}`;
 }
 
 const vmPattern = /^(\d+\.\d+\.\d+\.\d+:\d+) (\d+(?:\.\d+)?) (.*)$/;
 
 /** @returns undefined when another writer left something else under the key */
-function decodeVm(name: string, value: string): ListedVm | undefined {
+function decodeVm(name: string, value: string): RegisteredVm | undefined {
 	const [, address, cores, domain] = vmPattern.exec(value) ?? [];
 	if (address === undefined || domain === undefined) {
 		return undefined;
--- a/src/core/fleet/work-sums.ts
+++ b/src/core/fleet/work-sums.ts
@@ -12,12 +12,12 @@
 
 	/** Work at an engine, as a copy. */
 	of(engine: EngineRef): EngineWork {
-		return { ...(this.byEngine.get(engine) ?? noWork(engine)) };
+		return { ...(this.byEngine.get(engine) ?? emptyWork(engine)) };
 	}
 
 	/** @param sign -1 takes the work off */
 	add(engine: EngineRef, change: WorkChange, sign = 1): void {
-		const sum = this.byEngine.get(engine) ?? noWork(engine);
+		const sum = this.byEngine.get(engine) ?? emptyWork(engine);
 		sum.running += sign * (change.running ?? 0);
 		sum.promptTokens += sign * (change.promptTokens ?? 0);
 		this.byEngine.set(engine, sum);
@@ -29,12 +29,12 @@
 		return busy.map((work) => ({ ...work }));
 	}
 
-	forget(engine: EngineRef): void {
+	removeEngine(engine: EngineRef): void {
 		this.byEngine.delete(engine);
 	}
 }
 
-export function noWork(engine: EngineRef): EngineWork {
+export function emptyWork(engine: EngineRef): EngineWork {
 	return { engine, running: 0, promptTokens: 0 };
 }
 
--- a/src/core/limits/fleet-limits.ts
+++ b/src/core/limits/fleet-limits.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Clock, Log, Random } from '../definitions.js';
-import type { EngineRef, NewsKind } from '../fleet/types.js';
+import type { EngineRef, GossipKind } from '../fleet/types.js';
 import { IssuerElection } from './issuer-election.js';
 import { LimitLedger } from './limit-ledger.js';
 import { assumedVmCount, PermitClient } from './permit-client.js';
@@ -15,7 +15,7 @@
 /** Limits and issuer announcements as gossip between VMs carries them. */
 export interface LimitGossip {
 	/** @param kind of the gossip message that carries them */
-	getUpdatesToSend(kind: NewsKind): LimitUpdate[];
+	getUpdatesToSend(kind: GossipKind): LimitUpdate[];
 	getIssuerToSend(): IssuerAnnouncement | undefined;
 	/** @returns whether other VMs should be updated too */
 	merge(updates: readonly LimitUpdate[], issuer: IssuerAnnouncement | undefined): boolean;
@@ -146,7 +146,7 @@
 		this.applyElection();
 	}
 
-	getUpdatesToSend(kind: NewsKind): LimitUpdate[] {
+	getUpdatesToSend(kind: GossipKind): LimitUpdate[] {
 		return this.ledger.getUpdatesToSend(kind);
 	}
 
--- a/src/core/limits/issuer-election.ts
+++ b/src/core/limits/issuer-election.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { Clock, Log } from '../definitions.js';
-import type { ListedVm } from '../fleet/aggregator-selection.js';
+import type { RegisteredVm } from '../fleet/aggregator-selection.js';
 import { addressOf } from '../fleet/aggregator-selection.js';
 import * as rendezvous from '../membership/rendezvous.js';
 import type { IssuerAnnouncement } from './types.js';
@@ -177,12 +177,16 @@
  * Rank of a VM among the candidates for issuer, 0 for the first. VMs with more cores come first; all VMs with the same list agree.
  * @param without address of a VM that is left out
  */
-export function issuerRank(self: ListedVm, others: readonly ListedVm[], without?: string): number {
+export function issuerRank(
+	self: RegisteredVm,
+	others: readonly RegisteredVm[],
+	without?: string,
+): number {
 	return others.filter((vm) => addressOf(vm.address) !== without && precedes(vm, self)).length;
 }
 
-function precedes(one: ListedVm, other: ListedVm): boolean {
-	const scoreOf = (vm: ListedVm) => rendezvous.scoreOf(rankKey, vm.name);
+function precedes(one: RegisteredVm, other: RegisteredVm): boolean {
+	const scoreOf = (vm: RegisteredVm) => rendezvous.scoreOf(rankKey, vm.name);
 	return one.cores > other.cores || (one.cores === other.cores && scoreOf(one) > scoreOf(other));
 }
 
--- a/src/core/limits/limit-ledger.ts
+++ b/src/core/limits/limit-ledger.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import type { Clock } from '../definitions.js';
-import type { EngineRef, NewsKind } from '../fleet/types.js';
+import type { EngineRef, GossipKind } from '../fleet/types.js';
 import type { LimitUpdate } from './types.js';
 
 /** How long a change is included in all gossip, in milliseconds; covers lost datagrams. */
@@ -46,7 +46,7 @@
 export class LimitLedger {
 	private readonly records = new Map<EngineRef, LimitRecord>();
 	private activeCount = 0;
-	private readonly cursors = new Map<NewsKind, GossipCursor>();
+	private readonly cursors = new Map<GossipKind, GossipCursor>();
 
 	constructor(private readonly opts: LimitLedgerOptions) {}
 
@@ -105,7 +105,7 @@
 	}
 
 	/** @param kind of the gossip message; each kind reaches other VMs and has its own progress */
-	getUpdatesToSend(kind: NewsKind): LimitUpdate[] {
+	getUpdatesToSend(kind: GossipKind): LimitUpdate[] {
 		if (this.records.size === 0) {
 			return [];
 		}
--- a/src/core/relay/attempt.ts
+++ b/src/core/relay/attempt.ts
@@ -76,7 +76,7 @@
 		this.engine.health.sent(this.leftAt, readingMs);
 		this.changeWork({ running: 1, promptTokens });
 		this.shared = shared;
-		this.ctx.fleet.read(shared, this.engine.key, false);
+		this.ctx.fleet.recordPrefill(shared, this.engine.key, false);
 		this.ctx.onWorkChanged();
 	}
 
@@ -123,7 +123,7 @@
 			this.beganNow();
 			this.firstEventAt = now;
 			this.firstEventSeen(now - this.leftAt);
-			this.ctx.fleet.read(this.shared, this.engine.key, true);
+			this.ctx.fleet.recordPrefill(this.shared, this.engine.key, true);
 			this.ctx.onWorkChanged();
 		} else if (!isPaused) {
 			this.pauseSeen(now);
--- a/src/daemon/relay/fleet-duties.ts
+++ b/src/daemon/relay/fleet-duties.ts
@@ -17,7 +17,7 @@
 import type { EngineDirectory } from '../../core/engines/engine-directory.js';
 import { parseAddress } from '../../core/fleet/aggregator-selection.js';
 import type { FleetView } from '../../core/fleet/fleet-view.js';
-import { freshContactMs } from '../../core/fleet/reader-selection.js';
+import { maxContactAgeMs } from '../../core/fleet/reader-selection.js';
 import type { LimitLedger } from '../../core/limits/limit-ledger.js';
 import type { DutySettings, HostPort } from '../../core/relay/settings.js';
 import type { UsageCount } from '../../core/relay/types.js';
@@ -90,7 +90,7 @@
 			checksTokens,
 			rank: () => opts.reading().dutyRank,
 			isIsolated: () => opts.fleet.size === 1 && (opts.registeredVms() ?? 1) > 1,
-			otherHolderToken: () => opts.fleet.dutyHolder(freshContactMs)?.dutyToken,
+			otherHolderToken: () => opts.fleet.dutyHolder(maxContactAgeMs)?.dutyToken,
 			onChanged: opts.onChanged,
 		});
 		this.counter = new UsageCounter({ windowMs, retentionMs: delayMs * keptDelays, time });
@@ -192,7 +192,7 @@
 
 	private get holderAddress(): string | undefined {
 		const isHolder = this.token !== undefined;
-		return isHolder ? this.opts.address : this.opts.fleet.dutyHolder(freshContactMs)?.address;
+		return isHolder ? this.opts.address : this.opts.fleet.dutyHolder(maxContactAgeMs)?.address;
 	}
 
 	private send(to: string, usage: UsageCounts): void {
--- a/src/daemon/relay/fleet-links.ts
+++ b/src/daemon/relay/fleet-links.ts
@@ -6,7 +6,7 @@
 import type { CostModel } from '../../core/engines/cost-model.js';
 import type { EngineDirectory } from '../../core/engines/engine-directory.js';
 import { FleetHealth } from '../../core/engines/fleet-health.js';
-import type { ListedVm } from '../../core/fleet/aggregator-selection.js';
+import type { RegisteredVm } from '../../core/fleet/aggregator-selection.js';
 import { addressOf } from '../../core/fleet/aggregator-selection.js';
 import { FleetSize } from '../../core/fleet/fleet-size.js';
 import { FleetView } from '../../core/fleet/fleet-view.js';
@@ -53,7 +53,7 @@
 		const { clock, random, log, engines, configuration, reading, duties } = opts;
 		const { vm, listen } = opts.settings();
 		const { id: name, domain, cores } = vm;
-		const self: ListedVm = { name, domain, cores, address: listen.peers };
+		const self: RegisteredVm = { name, domain, cores, address: listen.peers };
 		this.limitExchange = new LimitExchange({
 			clock,
 			log,
@@ -82,12 +82,12 @@
 			address: addressOf(listen.peers),
 			clock,
 			log,
-			life: opts.life,
+			incarnation: opts.life,
 			onNewerConfiguration: (address) => void this.peers.fetchConfiguration(address),
 			costs: opts.costs,
 			answers: this.health,
-			storeNews: () => reading().news(),
-			onStoreNews: (address, store) => reading().heard(address, store),
+			storeStatus: () => reading().news(),
+			onStoreStatus: (address, store) => reading().heard(address, store),
 			crashes: opts.quarantine.ledger,
 			limits,
 		});
@@ -99,9 +99,9 @@
 			prefix: opts.vmPrefix,
 			self,
 			sleep: opts.sleep,
-			renewMs: () => reading().renewMs,
-			isStoreAway: () => reading().isAway,
-			onUnreachable: () => reading().restart(),
+			renewalIntervalMs: () => reading().renewMs,
+			isStoreUnavailable: () => reading().isAway,
+			onStoreUnreachable: () => reading().restart(),
 		});
 		this.peers = new PeerExchange({
 			clock,
--- a/src/daemon/relay/limit-exchange.ts
+++ b/src/daemon/relay/limit-exchange.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import type { Clock, Log, Random } from '../../core/definitions.js';
-import type { ListedVm } from '../../core/fleet/aggregator-selection.js';
+import type { RegisteredVm } from '../../core/fleet/aggregator-selection.js';
 import { addressOf, parseAddress } from '../../core/fleet/aggregator-selection.js';
 import type { EngineRef } from '../../core/fleet/types.js';
 import { FleetLimits } from '../../core/limits/fleet-limits.js';
@@ -19,9 +19,9 @@
 	clock: Clock;
 	log: Log;
 	random: Random;
-	self: ListedVm;
+	self: RegisteredVm;
 	/** Other VMs that are registered. */
-	listed: () => readonly ListedVm[];
+	listed: () => readonly RegisteredVm[];
 	engineId: (engine: EngineRef) => string | undefined;
 	/** VMs that this one hears of now, itself included. */
 	heardVms: () => number;
--- a/src/daemon/relay/peer-exchange.ts
+++ b/src/daemon/relay/peer-exchange.ts
@@ -6,11 +6,11 @@
 import type * as http from 'node:http';
 import type { Clock, Log } from '../../core/definitions.js';
 import type { UsageAck, UsageCounts } from '../../core/duties/types.js';
-import type { ListedVm } from '../../core/fleet/aggregator-selection.js';
+import type { RegisteredVm } from '../../core/fleet/aggregator-selection.js';
 import { AggregatorSelection } from '../../core/fleet/aggregator-selection.js';
 import type { FleetView } from '../../core/fleet/fleet-view.js';
-import { NewsExchange } from '../../core/fleet/news-exchange.js';
-import type { PeerNews } from '../../core/fleet/types.js';
+import { GossipExchange } from '../../core/fleet/gossip-exchange.js';
+import type { GossipMessage } from '../../core/fleet/types.js';
 import type { PermitRequest, PermitResponse } from '../../core/limits/types.js';
 import type { HostPort } from '../../core/relay/settings.js';
 import { PeerDatagrams } from '../../infra/relay/peer-datagrams.js';
@@ -23,10 +23,10 @@
 export interface PeerExchangeOptions {
 	clock: Clock;
 	log: Log;
-	self: ListedVm;
+	self: RegisteredVm;
 	fleet: FleetView;
 	/** Other VMs that are registered. */
-	listed: () => readonly ListedVm[];
+	listed: () => readonly RegisteredVm[];
 	/** VMs to ask before any is known. */
 	seeds: () => readonly HostPort[];
 	/** The configuration in force as text. */
@@ -48,7 +48,7 @@
 
 export class PeerExchange {
 	private readonly datagrams: PeerDatagrams;
-	private readonly news: NewsExchange;
+	private readonly news: GossipExchange;
 	private readonly transfers: PeerTransfers;
 	private readonly timer: DueTimer;
 
@@ -61,13 +61,13 @@
 			permitAsk: (ask) => this.opts.onPermitAsk(ask),
 			permitAnswer: (answer) => this.opts.onPermitAnswer(answer),
 		});
-		this.news = new NewsExchange({
+		this.news = new GossipExchange({
 			clock,
 			log,
 			fleet,
 			selection: new AggregatorSelection(self),
 			self: self.address,
-			listed,
+			otherVms: listed,
 			seeds,
 			send: (to, news) => this.datagrams.sendNews(to, news),
 		});
@@ -75,7 +75,7 @@
 		this.timer = new DueTimer(
 			clock,
 			() => news.dueAt,
-			() => news.run(),
+			() => news.sendDue(),
 		);
 		this.transfers = new PeerTransfers({ log, textOf: (target) => this.textOf(target) });
 	}
@@ -88,13 +88,13 @@
 	async start(): Promise<void> {
 		await this.datagrams.bind(this.opts.self.address);
 		this.news.update();
-		this.news.run();
+		this.news.sendDue();
 		this.timer.arm();
 	}
 
 	/** How long no news were sent, in milliseconds. */
 	get silentForMs(): number {
-		return this.news.silentForMs;
+		return this.news.sinceLastSendMs;
 	}
 
 	sendUsage(to: HostPort, usage: UsageCounts): void {
@@ -115,7 +115,7 @@
 
 	/** Something changed that peers should know. */
 	changed(): void {
-		this.news.changed();
+		this.news.markChanged();
 		this.timer.arm();
 	}
 
@@ -173,7 +173,7 @@
 		this.transfers.close();
 	}
 
-	private receive(news: PeerNews): void {
+	private receive(news: GossipMessage): void {
 		this.news.receive(news);
 		this.timer.arm();
 	}
--- a/src/daemon/relay/relay-daemon.ts
+++ b/src/daemon/relay/relay-daemon.ts
@@ -98,7 +98,7 @@
 			idOf: platform.engineIdOf,
 			onAddressGone: (address) => transport.forget(address),
 			onGone: (engine) => {
-				this.links.fleet.engineGone(engine.key);
+				this.links.fleet.removeEngine(engine.key);
 				this.links.limits.permits.removeEngine(engine.ref);
 				if (!engine.isLeaving) {
 					this.quarantine.recordEngineCrash(engine.ref);
@@ -276,7 +276,7 @@
 		await listenOn(this.links.peers.server, peers.host, peers.port);
 		await listenOn(this.front.server, callers.host, callers.port);
 		await listenOn(this.readiness, readiness.host, readiness.port);
-		this.runForever(this.links.registry.keep());
+		this.runForever(this.links.registry.run());
 		this.watch.start();
 		this.timers.push(setInterval(() => this.tick(), tickMs));
 		this.timers.push(setInterval(() => this.sweep(), peerSweepMs));
--- a/src/daemon/relay/store-reading.ts
+++ b/src/daemon/relay/store-reading.ts
@@ -7,12 +7,12 @@
 import type { EngineDirectory } from '../../core/engines/engine-directory.js';
 import type { FleetView } from '../../core/fleet/fleet-view.js';
 import {
-	freshContactMs,
+	maxContactAgeMs,
+	maxReaderSilenceMs,
 	ReaderSelection,
 	smallFleetSize,
-	tellReadersMs,
 } from '../../core/fleet/reader-selection.js';
-import type { StoreNews } from '../../core/fleet/types.js';
+import type { StoreStatus } from '../../core/fleet/types.js';
 import type { ConfigurationState } from '../../core/routing/configuration-state.js';
 import type { Store } from '../../core/store/definitions.js';
 import type { PrefixFollowerOptions, PrefixListener } from '../../core/store/prefix-follower.js';
@@ -103,7 +103,7 @@
 
 	/** Time between two renewals of this VM's registration, in milliseconds. */
 	get renewMs(): number {
-		return this.selection.renewMs;
+		return this.selection.renewalIntervalMs;
 	}
 
 	/** Whether what this VM knows of configuration and engines is up to date. */
@@ -111,7 +111,7 @@
 		if (this.selection.isReader) {
 			return this.followers.every((follower) => follower.isReachable);
 		}
-		return this.opts.fleet.storeReaders(freshContactMs) > 0;
+		return this.opts.fleet.countStoreReaders(maxContactAgeMs) > 0;
 	}
 
 	/**
@@ -129,7 +129,7 @@
 
 	/** Whether others read the store for this VM, and none is heard that it answers. */
 	get isAway(): boolean {
-		return !this.selection.isReader && this.opts.fleet.storeReaders(freshContactMs) === 0;
+		return !this.selection.isReader && this.opts.fleet.countStoreReaders(maxContactAgeMs) === 0;
 	}
 
 	/** How long the store has not answered this VM, in milliseconds; since the start when it never did. */
@@ -148,9 +148,14 @@
 		const { fleet, clock, log } = this.opts;
 		const { selection } = this;
 		const before = selection.isReader;
-		const freshReaders = fleet.storeReaders(freshContactMs);
-		const holdsDuty = this.opts.dutyToken() !== undefined;
-		const snapshot = { names: this.opts.vmNames(), freshReaders, heardVms: fleet.size, holdsDuty };
+		const freshReaders = fleet.countStoreReaders(maxContactAgeMs);
+		const isDutyHolder = this.opts.dutyToken() !== undefined;
+		const snapshot = {
+			names: this.opts.vmNames(),
+			freshReaders,
+			liveVms: fleet.size,
+			isDutyHolder,
+		};
 		selection.update(snapshot, clock.monotonic());
 		if (selection.isReader !== before) {
 			log.info('store.reading', { reads: selection.isReader, peers: fleet.size - 1 });
@@ -159,7 +164,7 @@
 			}
 		}
 		const peers = this.opts.peers();
-		if (selection.isReliedOn && peers.silentForMs >= tellReadersMs) {
+		if (selection.isReadingForOthers && peers.silentForMs >= maxReaderSilenceMs) {
 			peers.announce();
 		}
 	}
@@ -178,7 +183,7 @@
 	}
 
 	/** What peers are told; undefined while this VM does not read the store itself. */
-	news(): StoreNews | undefined {
+	news(): StoreStatus | undefined {
 		if (!this.enginesFollower.isReachable) {
 			return undefined;
 		}
@@ -188,11 +193,11 @@
 	}
 
 	/** A peer that reads the store told of it: changes of engines are fetched unless this VM reads it too. */
-	heard(address: string, store: StoreNews): void {
+	heard(address: string, store: StoreStatus): void {
 		const { engines } = this.opts;
 		this.opts.onEraHeard(eraOf(store.revision));
 		const isNews = store.revision >= engines.revision && store.digest !== engines.digest;
-		const isFresh = store.contactAgeMs < freshContactMs;
+		const isFresh = store.contactAgeMs < maxContactAgeMs;
 		if (!this.enginesFollower.isReachable && isFresh && isNews) {
 			void this.opts.peers().fetchEngines(address);
 		}
--- a/src/daemon/relay/store-restoration.ts
+++ b/src/daemon/relay/store-restoration.ts
@@ -55,7 +55,7 @@
 		});
 		this.opts.onRestored();
 		duties?.restored();
-		registry.restored();
+		registry.scheduleRewrite();
 		quarantineRecords.handleStoreRestored();
 		reading.restored();
 	}
--- a/src/infra/relay/news-codec.ts
+++ b/src/infra/relay/news-codec.ts
@@ -10,12 +10,12 @@
 import type { EngineAnswers } from '../../core/engines/recent-answers.js';
 import type {
 	EngineWork,
-	HeardReport,
-	NewsKind,
-	PeerNews,
+	GossipKind,
+	GossipMessage,
+	ReportAck,
 	StoreReader,
 } from '../../core/fleet/types.js';
-import { newsKinds } from '../../core/fleet/types.js';
+import { gossipKinds } from '../../core/fleet/types.js';
 import type { IssuerAnnouncement } from '../../core/limits/types.js';
 import type { CrashReport } from '../../core/quarantine/types.js';
 import { packLimit, readLimit } from './limit-codec.js';
@@ -37,30 +37,30 @@
 const noContent = -1;
 
 /** Kinds of news by the type of their message. */
-const kinds: Readonly<Record<number, NewsKind>> = {
-	[messageTypes.report]: newsKinds.report,
-	[messageTypes.group]: newsKinds.group,
-	[messageTypes.fleet]: newsKinds.fleet,
+const kinds: Readonly<Record<number, GossipKind>> = {
+	[messageTypes.report]: gossipKinds.report,
+	[messageTypes.group]: gossipKinds.group,
+	[messageTypes.fleet]: gossipKinds.fleet,
 };
 
-export function encodeNews(news: PeerNews): Uint8Array {
+export function encodeNews(news: GossipMessage): Uint8Array {
 	return msgpack.encode([
 		messageFormat,
 		messageTypes[news.kind],
 		news.from,
-		news.life,
+		news.incarnation,
 		news.seq,
 		news.configurationVersion,
 		news.address,
-		news.leaving,
-		Math.round(news.spacingMs),
-		news.vms,
+		news.isLeaving,
+		Math.round(news.intervalMs),
+		news.vmCount,
 		[news.engines.from, news.engines.to],
 		news.work.flatMap((item) => [item.engine, item.running, Math.round(item.promptTokens)]),
-		news.reads.map((item) => [item.part, item.engine, item.isDone]),
+		news.cacheUpdates.map((item) => [item.segment, item.engine, item.isPrefilled]),
 		[toThousandths(news.demand.long), toThousandths(news.demand.short)],
-		news.readers.map(packReader),
-		news.heard.flatMap((item) => [item.vm, item.seq]),
+		news.storeReaders.map(packReader),
+		news.reportAcks.flatMap((item) => [item.vm, item.seq]),
 		news.costs?.map(packCosts),
 		news.answers?.map(packAnswers),
 		news.crashes.flatMap(packCrash),
@@ -75,31 +75,31 @@
  * @param row behind its type
  * @throws RowError when the row is no news
  */
-export function decodeNews(type: number, row: RowReader): PeerNews {
+export function decodeNews(type: number, row: RowReader): GossipMessage {
 	const kind = kinds[type];
 	if (kind === undefined) {
 		throw new RowError('a kind of news');
 	}
-	const news: PeerNews = {
+	const news: GossipMessage = {
 		kind,
 		from: row.text(),
-		life: row.number(),
+		incarnation: row.number(),
 		seq: row.number(),
 		configurationVersion: row.number(),
 		address: row.text(),
-		leaving: row.flag(),
-		spacingMs: row.number(),
-		vms: row.number(),
+		isLeaving: row.flag(),
+		intervalMs: row.number(),
+		vmCount: row.number(),
 		engines: row.one((range) => ({ from: range.number(), to: range.number() })),
 		work: readWork(row.numbers(workFields)),
-		reads: row.rows((item) => ({
-			part: item.number(),
+		cacheUpdates: row.rows((item) => ({
+			segment: item.number(),
 			engine: item.number(),
-			isDone: item.flag(),
+			isPrefilled: item.flag(),
 		})),
 		demand: row.one((item) => ({ long: item.thousandths(), short: item.thousandths() })),
-		readers: row.rows(readReader),
-		heard: readHeard(row.numbers(heardFields)),
+		storeReaders: row.rows(readReader),
+		reportAcks: readHeard(row.numbers(heardFields)),
 		costs: row.optionalRows(readCosts),
 		answers: row.optionalRows(readAnswers),
 		crashes: readCrashes(row.numbers(crashFields)),
@@ -123,8 +123,8 @@
 	return work;
 }
 
-function readHeard(fields: readonly number[]): HeardReport[] {
-	const heard: HeardReport[] = [];
+function readHeard(fields: readonly number[]): ReportAck[] {
+	const heard: ReportAck[] = [];
 	for (let at = 0; at < fields.length; at += heardFields) {
 		heard.push({ vm: fields[at] ?? 0, seq: fields[at + 1] ?? 0 });
 	}
--- a/src/infra/relay/peer-datagrams.ts
+++ b/src/infra/relay/peer-datagrams.ts
@@ -6,7 +6,7 @@
 import * as msgpack from '@msgpack/msgpack';
 import type { Log } from '../../core/definitions.js';
 import type { UsageAck, UsageCounts } from '../../core/duties/types.js';
-import type { PeerNews } from '../../core/fleet/types.js';
+import type { GossipMessage } from '../../core/fleet/types.js';
 import type { PermitRequest, PermitResponse } from '../../core/limits/types.js';
 import type { HostPort } from '../../core/relay/settings.js';
 import {
@@ -22,7 +22,7 @@
 
 /** Receives what other VMs send. */
 export interface PeerListener {
-	news(news: PeerNews): void;
+	news(news: GossipMessage): void;
 	usage(usage: UsageCounts): void;
 	usageTaken(taken: UsageAck): void;
 	permitAsk(ask: PermitRequest): void;
@@ -52,7 +52,7 @@
 		});
 	}
 
-	sendNews(to: readonly HostPort[], news: PeerNews): void {
+	sendNews(to: readonly HostPort[], news: GossipMessage): void {
 		this.send(to, encodeNews(news));
 	}
 
@@ -142,8 +142,8 @@
 }
 
 /** @returns the news in a datagram; undefined when it holds none */
-export function newsIn(datagram: Uint8Array): PeerNews | undefined {
-	let found: PeerNews | undefined;
+export function newsIn(datagram: Uint8Array): GossipMessage | undefined {
+	let found: GossipMessage | undefined;
 	hand(datagram, {
 		news: (news) => {
 			found = news;
--- a/test/steps/burst-replay.ts
+++ b/test/steps/burst-replay.ts
@@ -10,7 +10,7 @@
 import type { PromptPart } from '../../src/core/relay/definitions.js';
 import { BatchEngine } from '../stand-ins/batch-engine.js';
 import { observed } from './observed-answer.js';
-import { entry, sequence, unlimited } from './relay-fakes.js';
+import { entry, seededRandom, unlimited } from './relay-fakes.js';
 import type { SimulatedVm } from './simulated-fleet.js';
 import { SimulatedFleet } from './simulated-fleet.js';
 
@@ -152,7 +152,7 @@
 	private startAt = 0;
 
 	constructor(readonly opts: BurstOptions) {
-		this.next = sequence(opts.seed);
+		this.next = seededRandom(opts.seed);
 		this.fleet = new SimulatedFleet(opts.knowsAll ? 1 : opts.vms, opts.domains, opts.seed);
 		for (let at = 0; at < opts.engines; at++) {
 			const isSlow = at < opts.engines * (opts.slowShare ?? 0);
@@ -275,8 +275,8 @@
 		const { id } = placed.engine;
 		const shared = req.parts.slice(0, -1);
 		vm.fleet.changeWork(id, { running: 1, promptTokens });
-		vm.fleet.read(shared, id, false);
-		vm.exchange.changed();
+		vm.fleet.recordPrefill(shared, id, false);
+		vm.exchange.markChanged();
 		const sentAt = this.fleet.clock.now;
 		let isInTime = false;
 		const request = observed(vm.costs, {
@@ -296,14 +296,14 @@
 					target.kept.add(part.id);
 				}
 				vm.fleet.changeWork(id, { promptTokens: -promptTokens });
-				vm.fleet.read(shared, id, true);
-				vm.exchange.changed();
+				vm.fleet.recordPrefill(shared, id, true);
+				vm.exchange.markChanged();
 			},
 			onEnd: () => {
 				tally.inTime += isInTime ? 1 : 0;
 				tally.pauses.push(longestMs);
 				vm.fleet.changeWork(id, { running: -1 });
-				vm.exchange.changed();
+				vm.exchange.markChanged();
 			},
 		});
 		let lastAt = Number.POSITIVE_INFINITY;
--- a/test/steps/engine-costs.steps.ts
+++ b/test/steps/engine-costs.steps.ts
@@ -9,7 +9,7 @@
 import { newsIn } from '../../src/infra/relay/peer-datagrams.js';
 import { BatchEngine } from '../stand-ins/batch-engine.js';
 import { observed } from './observed-answer.js';
-import { news, seen, sequence } from './relay-fakes.js';
+import { gossipMessage, seededRandom, seen } from './relay-fakes.js';
 import type { FleetWorld } from './world.js';
 
 const service = 'pool';
@@ -27,7 +27,7 @@
 
 /** Sends requests to one engine and tells the model what its answers show. */
 function observe(model: CostModel, speed: Speed, seconds: number, perS: number, seed: number) {
-	const next = sequence(seed);
+	const next = seededRandom(seed);
 	const engine = new BatchEngine({
 		...speed,
 		chunkTokens,
@@ -109,7 +109,7 @@
 });
 
 cucumber.When('another VM starts and hears the news of the first', function (this: FleetWorld) {
-	const told = news({ costs: seen<CostModel>(this, 'model').export([]) });
+	const told = gossipMessage({ costs: seen<CostModel>(this, 'model').export([]) });
 	const other = new CostModel();
 	other.take('vm-1', newsIn(encodeNews(told))?.costs ?? []);
 	this.seen.set('other', other);
--- a/test/steps/engine-notices.steps.ts
+++ b/test/steps/engine-notices.steps.ts
@@ -16,7 +16,7 @@
 import * as platform from '../../src/platform/index.js';
 import { PlatformEngineStandIn } from '../stand-ins/platform-engine.js';
 import {
-	allWell,
+	alwaysHealthy,
 	clockOf,
 	noRequestLimits,
 	registration,
@@ -247,10 +247,10 @@
 			placement: { choose },
 			transport,
 			budget: { requested() {}, left: () => 5, take: () => true },
-			fleet: { size: 1, changeWork() {}, read() {} },
+			fleet: { size: 1, changeWork() {}, recordPrefill() {} },
 			metrics: { retried() {}, engineClosed() {} },
 			quarantine: { hasMatchingHead: () => false },
-			fleetHealth: allWell,
+			fleetHealth: alwaysHealthy,
 			limits: noRequestLimits,
 			onWorkChanged() {},
 		} as unknown as RelayContext;
--- a/test/steps/engine-orders.steps.ts
+++ b/test/steps/engine-orders.steps.ts
@@ -9,7 +9,7 @@
 import { EngineAutoscaler } from '../../src/core/duties/engine-autoscaler.js';
 import type { EngineEntry } from '../../src/core/engines/types.js';
 import type { ScalingLimits } from '../../src/core/routing/types.js';
-import { entry, seen, sequence, silentLog } from './relay-fakes.js';
+import { entry, seededRandom, seen, silentLog } from './relay-fakes.js';
 import { SimulatedApi, SimulatedTime } from './simulated-platform.js';
 import type { FleetWorld } from './world.js';
 
@@ -24,7 +24,7 @@
 
 class SimulatedEngines {
 	readonly time = new SimulatedTime();
-	readonly api = new SimulatedApi(this.time, sequence(2));
+	readonly api = new SimulatedApi(this.time, seededRandom(2));
 	readonly autoscaler: EngineAutoscaler;
 	/** Minimum number of serving engines so far. */
 	minServing = Number.POSITIVE_INFINITY;
--- a/test/steps/engine-speeds.steps.ts
+++ b/test/steps/engine-speeds.steps.ts
@@ -9,7 +9,7 @@
 import { encodeNews } from '../../src/infra/relay/news-codec.js';
 import type { BurstOptions } from './burst-replay.js';
 import { BurstReplay } from './burst-replay.js';
-import { news, seen, sequence } from './relay-fakes.js';
+import { gossipMessage, seededRandom, seen } from './relay-fakes.js';
 import type { SimulatedFleet, SimulatedVm } from './simulated-fleet.js';
 import type { FleetWorld } from './world.js';
 
@@ -21,7 +21,7 @@
 
 /** The same for an engine and a time on every run, whoever asks. */
 function noiseAt(engine: number, ms: number): number {
-	const next = sequence(engine * 7919 + Math.floor(ms / noise.ms) * 104_729 + 17);
+	const next = seededRandom(engine * 7919 + Math.floor(ms / noise.ms) * 104_729 + 17);
 	next();
 	next();
 	return next() < noise.share ? noise.slower : 1;
@@ -151,7 +151,9 @@
 	function (this: FleetWorld, slower: number) {
 		const fleet = seen<SimulatedFleet>(this, 'simulated');
 		fleet.run(1000);
-		const vm = fleet.running.find((vm) => vm.fleet.sourceSpacingMs !== undefined) as SimulatedVm;
+		const vm = fleet.running.find(
+			(vm) => vm.fleet.aggregatorIntervalMs !== undefined,
+		) as SimulatedVm;
 		for (let passed = 0; passed < 2000; passed += 100) {
 			observe(vm.costs, fleet.clock.now, 100, (engine) => (engine === 1 ? slower : 1));
 			fleet.run(100);
@@ -164,7 +166,7 @@
 	'all VMs expect it to take {float} to {float} times as long as the others',
 	function (this: FleetWorld, least: number, most: number) {
 		const fleet = seen<SimulatedFleet>(this, 'simulated');
-		for (const { listed, costs } of fleet.running) {
+		for (const { registration: listed, costs } of fleet.running) {
 			const [slow, usual] = [1, 2].map(
 				(engine) => costs.at(service, engine, fleet.clock.now).eventMs,
 			);
@@ -235,7 +237,8 @@
 	'its news of speeds take at most {int} bytes',
 	function (this: FleetWorld, most: number) {
 		const speeds = seen<CostModel>(this, 'model').speeds.export([], 2000, 24);
-		const bytes = encodeNews(news({ speeds })).length - encodeNews(news({})).length;
+		const bytes =
+			encodeNews(gossipMessage({ speeds })).length - encodeNews(gossipMessage({})).length;
 		assert.ok(bytes <= most, `${bytes}`);
 	},
 );
--- a/test/steps/fleet-health.steps.ts
+++ b/test/steps/fleet-health.steps.ts
@@ -5,7 +5,7 @@
  */
 import * as assert from 'node:assert/strict';
 import * as cucumber from '@cucumber/cucumber';
-import { seen, sequence } from './relay-fakes.js';
+import { seededRandom, seen } from './relay-fakes.js';
 import type { SimulatedVm } from './simulated-fleet.js';
 import { SimulatedFleet } from './simulated-fleet.js';
 import type { FleetWorld } from './world.js';
@@ -23,7 +23,7 @@
 	failed = 0;
 	/** Requests that each engine got. */
 	sent = new Map<number, number>();
-	private readonly next = sequence(7);
+	private readonly next = seededRandom(7);
 
 	constructor(
 		vms: number,
@@ -69,7 +69,7 @@
 );
 
 cucumber.Given('{int} % of the news are lost', function (this: FleetWorld, percent: number) {
-	seen<Requests>(this, 'requests').fleet.lost = percent / 100;
+	seen<Requests>(this, 'requests').fleet.lossRate = percent / 100;
 });
 
 cucumber.When(
--- a/test/steps/limited-load.steps.ts
+++ b/test/steps/limited-load.steps.ts
@@ -8,7 +8,7 @@
 import { IssuerElection } from '../../src/core/limits/issuer-election.js';
 import type { LimitedLoadOptions } from './limited-load.js';
 import { LimitedLoad } from './limited-load.js';
-import { clockOf, seen, sequence, silentLog } from './relay-fakes.js';
+import { clockOf, seededRandom, seen, silentLog } from './relay-fakes.js';
 import type { SimulatedVm } from './simulated-fleet.js';
 import type { FleetWorld } from './world.js';
 
@@ -27,7 +27,7 @@
 	'one VM': ({ fleet }, vm) => (vm === fleet.vms.at(-1) ? 1 : 0),
 	'one domain after another': ({ fleet }, vm, at) => {
 		const domain = `domain-${Math.floor(at / moveIntervalMs) % domains}`;
-		const domainVms = fleet.vms.filter(({ listed }) => listed.domain === domain);
+		const domainVms = fleet.vms.filter(({ registration: listed }) => listed.domain === domain);
 		return domainVms.includes(vm) ? 1 / domainVms.length : 0;
 	},
 };
@@ -169,7 +169,7 @@
 cucumber.When(
 	'a tenth of the datagrams is lost and a tenth is duplicated',
 	function (this: FleetWorld) {
-		Object.assign(loadOf(this).fleet, { lost: 0.1, doubled: 0.1 });
+		Object.assign(loadOf(this).fleet, { lossRate: 0.1, duplicationRate: 0.1 });
 	},
 );
 
@@ -249,7 +249,7 @@
 cucumber.Then('no VM knows a limit', function (this: FleetWorld) {
 	const known = loadOf(this).fleet.running.filter(({ limits }) => limits.ledger.size > 0);
 	assert.deepEqual(
-		known.map(({ listed }) => listed.name),
+		known.map(({ registration: listed }) => listed.name),
 		[],
 	);
 });
@@ -260,7 +260,7 @@
 		const limits = new FleetLimits({
 			clock: clockOf(this),
 			log: silentLog,
-			random: { next: sequence(5), hex: () => '' },
+			random: { next: seededRandom(5), hex: () => '' },
 			ownAddress: '10.0.0.1:1',
 			engineId: () => undefined,
 			getRank: () => 0,
--- a/test/steps/limited-load.ts
+++ b/test/steps/limited-load.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import { urgencyLevels } from '../../src/core/relay/definitions.js';
-import { sequence } from './relay-fakes.js';
+import { seededRandom } from './relay-fakes.js';
 import type { SimulatedVm } from './simulated-fleet.js';
 import { SimulatedFleet } from './simulated-fleet.js';
 
@@ -57,8 +57,8 @@
 
 	constructor(private readonly opts: LimitedLoadOptions) {
 		this.fleet = new SimulatedFleet(opts.vms, opts.domains, opts.seed);
-		this.next = sequence((opts.seed ?? 1) + 17);
-		this.nextPick = sequence((opts.seed ?? 1) + 71);
+		this.next = seededRandom((opts.seed ?? 1) + 17);
+		this.nextPick = seededRandom((opts.seed ?? 1) + 71);
 		this.engines = Array.from({ length: opts.engines }, (_, index) => ({
 			ref: 1000 + index,
 			limitPerS: opts.limitPerS,
--- a/test/steps/overload.steps.ts
+++ b/test/steps/overload.steps.ts
@@ -13,12 +13,12 @@
 import { observed } from './observed-answer.js';
 import {
 	entry,
-	noAnswerNews,
+	ManualClock,
+	noAnswerGossip,
 	noCrashes,
-	noLimitNews,
-	StepClock,
+	noLimitGossip,
+	seededRandom,
 	seen,
-	sequence,
 	silentLog,
 	unlimited,
 } from './relay-fakes.js';
@@ -72,7 +72,7 @@
 }
 
 function traceOf(seed: number): Arrival[] {
-	const next = sequence(seed);
+	const next = seededRandom(seed);
 	const arrivals: Arrival[] = [];
 	for (const kind of [chat, letter]) {
 		let atMs = 0;
@@ -90,7 +90,7 @@
  */
 class Replay {
 	readonly tallies = new Map<string, Tally>();
-	private readonly clock = new StepClock();
+	private readonly clock = new ManualClock();
 	private readonly costs = new CostModel();
 	private readonly fleet: FleetView;
 	private readonly engines: Engine[] = [];
@@ -101,16 +101,16 @@
 		this.fleet = new FleetView({
 			self: 'vm-1',
 			address: '10.0.0.1:1',
-			life: 1,
+			incarnation: 1,
 			clock: this.clock,
 			log: silentLog,
 			costs: this.costs,
-			answers: noAnswerNews,
+			answers: noAnswerGossip,
 			onNewerConfiguration() {},
-			onStoreNews() {},
+			onStoreStatus() {},
 			crashes: noCrashes(),
-			limits: noLimitNews,
-			storeNews: () => undefined,
+			limits: noLimitGossip,
+			storeStatus: () => undefined,
 		});
 		const random = { next: () => 0.5, hex: () => '' };
 		this.placement = new EnginePlacement(random, this.fleet, this.costs, () => false);
--- a/test/steps/quarantine.steps.ts
+++ b/test/steps/quarantine.steps.ts
@@ -10,7 +10,7 @@
 import { QuarantineRecords } from '../../src/core/quarantine/quarantine-records.js';
 import type { Store } from '../../src/core/store/definitions.js';
 import { wholeStream } from '../stand-ins/platform-engine.js';
-import { StepClock, seen, silentLog } from './relay-fakes.js';
+import { ManualClock, seen, silentLog } from './relay-fakes.js';
 import { fixtureOf } from './relay-fixture.js';
 import type { RelayFixture, Vm } from './relay-world.js';
 import { until } from './relay-world.js';
@@ -89,7 +89,7 @@
 		const load = seen<CrashLoad>(this, 'load');
 		const runs = Array.from({ length: count }, (_, index) => {
 			const run = new SimulatedCrashes({ ...load, seed: index + 1 });
-			run.fleet.lost = load.lost;
+			run.fleet.lossRate = load.lost;
 			run.run(s * 1000);
 			return run;
 		});
@@ -239,7 +239,7 @@
 );
 
 cucumber.Given('a VM without peers, started long ago', async function (this: FleetWorld) {
-	const clock = new StepClock();
+	const clock = new ManualClock();
 	const isPortClosed = async () => true;
 	const quarantine = new Quarantine({
 		clock,
--- a/test/steps/relay-fakes.ts
+++ b/test/steps/relay-fakes.ts
@@ -6,8 +6,8 @@
 import { CostModel } from '../../src/core/engines/cost-model.js';
 import type { AnswerNews } from '../../src/core/engines/fleet-health.js';
 import { FleetView } from '../../src/core/fleet/fleet-view.js';
-import type { EngineRange, PeerNews } from '../../src/core/fleet/types.js';
-import { newsKinds } from '../../src/core/fleet/types.js';
+import type { EngineRange, GossipMessage } from '../../src/core/fleet/types.js';
+import { gossipKinds } from '../../src/core/fleet/types.js';
 import type { LimitGossip } from '../../src/core/limits/fleet-limits.js';
 import { CrashLedger } from '../../src/core/quarantine/crash-ledger.js';
 import type { RelayContext, RequestLimits } from '../../src/core/relay/types.js';
@@ -18,7 +18,7 @@
 export const silentLog: Log = { debug() {}, info() {}, warn() {}, error() {} };
 
 /** Numbers from 0 up to 1 that look random, the same on every run. */
-export function sequence(seed: number): () => number {
+export function seededRandom(seed: number): () => number {
 	let state = seed;
 	return () => {
 		state = (state * 1_103_515_245 + 12_345) % 2 ** 31;
@@ -27,7 +27,7 @@
 }
 
 /** A clock that moves when the scenario says so. */
-export class StepClock {
+export class ManualClock {
 	now = 1000;
 
 	/** Time for which the VM was suspended. */
@@ -48,21 +48,21 @@
 
 /** A ledger in which no engine ended. */
 export function noCrashes(): CrashLedger {
-	return new CrashLedger({ clock: new StepClock(), onChanged() {}, onLocalChange() {} });
+	return new CrashLedger({ clock: new ManualClock(), onChanged() {}, onLocalChange() {} });
 }
 
 /** No engine names a limit. */
-export const noLimitNews: LimitGossip = {
+export const noLimitGossip: LimitGossip = {
 	getUpdatesToSend: () => [],
 	getIssuerToSend: () => undefined,
 	merge: () => false,
 };
 
 /** No engine fails. */
-export const noAnswerNews: AnswerNews = { export: () => [], take: () => false, forget() {} };
+export const noAnswerGossip: AnswerNews = { export: () => [], take: () => false, forget() {} };
 
 /** What a relayed request goes by where no engine fails. */
-export const allWell: RelayContext['fleetHealth'] = {
+export const alwaysHealthy: RelayContext['fleetHealth'] = {
 	admitted: (engines) => engines,
 	failed() {},
 	served() {},
@@ -76,10 +76,10 @@
 	ledger: { getLimitPerS: () => undefined, recordLimit() {}, recordNoLimit() {} },
 } as unknown as RequestLimits;
 
-export const clocks = new WeakMap<FleetWorld, StepClock>();
+export const clocks = new WeakMap<FleetWorld, ManualClock>();
 
-export function clockOf(world: FleetWorld): StepClock {
-	const clock = clocks.get(world) ?? new StepClock();
+export function clockOf(world: FleetWorld): ManualClock {
+	const clock = clocks.get(world) ?? new ManualClock();
 	clocks.set(world, clock);
 	return clock;
 }
@@ -135,54 +135,54 @@
 	return { key: `${platform.keys.engines}${id}`, value, revision, lease: 0 };
 }
 
-export function newFleet(world: FleetWorld): FleetView {
-	const options = { self: 'vm-1', address: '10.0.0.1:1', life: 1, clock: clockOf(world) };
+export function newFleetView(world: FleetWorld): FleetView {
+	const options = { self: 'vm-1', address: '10.0.0.1:1', incarnation: 1, clock: clockOf(world) };
 	const ports = {
 		log: silentLog,
 		costs: new CostModel(),
-		answers: noAnswerNews,
+		answers: noAnswerGossip,
 		onNewerConfiguration() {},
-		onStoreNews() {},
+		onStoreStatus() {},
 		crashes: noCrashes(),
-		limits: noLimitNews,
+		limits: noLimitGossip,
 	};
-	return new FleetView({ ...options, ...ports, storeNews: () => undefined });
+	return new FleetView({ ...options, ...ports, storeStatus: () => undefined });
 }
 
 /** Every engine. */
 export const allEngines: EngineRange = { from: 0, to: 2 ** 32 };
 
-export function news(part: Partial<PeerNews>): PeerNews {
+export function gossipMessage(part: Partial<GossipMessage>): GossipMessage {
 	return {
-		kind: newsKinds.group,
+		kind: gossipKinds.group,
 		from: 'vm-2',
-		life: 1,
+		incarnation: 1,
 		seq: 1,
 		configurationVersion: 0,
 		address: '10.0.0.2:1',
-		leaving: false,
-		spacingMs: 10,
-		vms: 1,
+		isLeaving: false,
+		intervalMs: 10,
+		vmCount: 1,
 		engines: allEngines,
-		readers: [],
-		heard: [],
+		storeReaders: [],
+		reportAcks: [],
 		crashes: [],
 		limits: [],
 		work: [],
-		reads: [],
+		cacheUpdates: [],
 		demand: { long: 0, short: 0 },
 		...part,
 	};
 }
 
 /** What a peer tells about an engine, as that peer's own view encodes it. */
-export function newsOfWork(
+export function workMessage(
 	world: FleetWorld,
 	engine: string,
 	running: number,
-	part: Partial<PeerNews>,
+	part: Partial<GossipMessage>,
 ) {
-	const peer = newFleet(world);
+	const peer = newFleetView(world);
 	peer.changeWork(engine, { running });
-	return news({ work: peer.takeGroup()[0]?.work ?? [], ...part });
+	return gossipMessage({ work: peer.composeGroup()[0]?.work ?? [], ...part });
 }
--- a/test/steps/relay-fleet.steps.ts
+++ b/test/steps/relay-fleet.steps.ts
@@ -11,12 +11,12 @@
 import { FleetSize } from '../../src/core/fleet/fleet-size.js';
 import type { FleetView } from '../../src/core/fleet/fleet-view.js';
 import {
-	freshContactMs,
+	maxContactAgeMs,
+	maxReaderSilenceMs,
 	ReaderSelection,
-	tellReadersMs,
 } from '../../src/core/fleet/reader-selection.js';
 import { StoreReaders } from '../../src/core/fleet/store-readers.js';
-import type { PeerNews } from '../../src/core/fleet/types.js';
+import type { GossipMessage } from '../../src/core/fleet/types.js';
 import type { Store } from '../../src/core/store/definitions.js';
 import { StoreError, storeFailures } from '../../src/core/store/definitions.js';
 import { PrefixFollower } from '../../src/core/store/prefix-follower.js';
@@ -27,13 +27,13 @@
 import * as platform from '../../src/platform/index.js';
 import {
 	clockOf,
-	newFleet,
-	news,
-	newsOfWork,
+	gossipMessage,
+	newFleetView,
 	registered,
 	registration,
 	seen,
 	silentLog,
+	workMessage,
 } from './relay-fakes.js';
 import type { FleetWorld } from './world.js';
 
@@ -81,11 +81,11 @@
 cucumber.Given('the fleet has {int} requests at {string}', fleetHas);
 
 function fleetHas(this: FleetWorld, count: number, id: string): void {
-	const fleet = newFleet(this);
-	const engines = directory(this, 'a, b', (engine) => fleet.engineGone(engine.key));
+	const fleet = newFleetView(this);
+	const engines = directory(this, 'a, b', (engine) => fleet.removeEngine(engine.key));
 	const [engine] = engines.offered('pool').filter((one) => one.id === id);
 	assert.ok(engine);
-	fleet.receive(newsOfWork(this, engine.key, count, { seq: 1 }));
+	fleet.receive(workMessage(this, engine.key, count, { seq: 1 }));
 	assert.equal(fleet.workAt(engine.key).running, count);
 	this.seen.set('directory', engines);
 	this.seen.set('fleet', fleet);
@@ -104,7 +104,7 @@
 		const before = seen<Engine>(this, 'engine before');
 		assert.equal(before.id, id);
 		before.health.unreachable(clockOf(this).now);
-		seen<FleetView>(this, 'fleet').receive(newsOfWork(this, before.key, count, { seq: 2 }));
+		seen<FleetView>(this, 'fleet').receive(workMessage(this, before.key, count, { seq: 2 }));
 	},
 );
 
@@ -235,7 +235,7 @@
 		const readers = new StoreReaders();
 		const hear = (revision: number, digest = 5) => {
 			const reader = { address: '10.0.0.2:1', contactAgeMs: 0, revision, digest, dutyToken: 0 };
-			return readers.heard(reader, true, clockOf(this).now);
+			return readers.merge(reader, true, clockOf(this).now);
 		};
 		assert.ok(hear(revisionIn(1, 10)));
 		assert.equal(hear(revisionIn(1, 20)), false);
@@ -303,7 +303,7 @@
 	for (const until = clockOf(world).now + ms; clockOf(world).now < until; ) {
 		clockOf(world).now += 100;
 		for (const selection of seen<ReaderSelection[]>(world, 'selections')) {
-			selection.update({ names, freshReaders, heardVms }, clockOf(world).now);
+			selection.update({ names, freshReaders, liveVms: heardVms }, clockOf(world).now);
 		}
 	}
 }
@@ -396,8 +396,8 @@
 	'{int} of them tell so three times before they seem cut off, however quiet it is',
 	function (this: FleetWorld, count: number) {
 		const selections = seen<ReaderSelection[]>(this, 'selections');
-		assert.equal(selections.filter((selection) => selection.isReliedOn).length, count);
-		assert.ok(3 * tellReadersMs < freshContactMs);
+		assert.equal(selections.filter((selection) => selection.isReadingForOthers).length, count);
+		assert.ok(3 * maxReaderSilenceMs < maxContactAgeMs);
 	},
 );
 
@@ -412,8 +412,8 @@
 cucumber.Given(
 	'a peer that told of {int} running requests at {string} as message {int}',
 	function (this: FleetWorld, running: number, engine: string, seq: number) {
-		const fleet = newFleet(this);
-		fleet.receive(newsOfWork(this, engine, running, { seq }));
+		const fleet = newFleetView(this);
+		fleet.receive(workMessage(this, engine, running, { seq }));
 		this.seen.set('fleet', fleet);
 	},
 );
@@ -421,14 +421,16 @@
 cucumber.When(
 	'its message {int} comes with {int} running requests',
 	function (this: FleetWorld, seq: number, running: number) {
-		seen<FleetView>(this, 'fleet').receive(newsOfWork(this, 'a', running, { seq }));
+		seen<FleetView>(this, 'fleet').receive(workMessage(this, 'a', running, { seq }));
 	},
 );
 
 cucumber.When(
 	'the peer starts anew and tells of {int} running request as message {int}',
 	function (this: FleetWorld, running: number, seq: number) {
-		seen<FleetView>(this, 'fleet').receive(newsOfWork(this, 'a', running, { seq, life: 2 }));
+		seen<FleetView>(this, 'fleet').receive(
+			workMessage(this, 'a', running, { seq, incarnation: 2 }),
+		);
 	},
 );
 
@@ -451,15 +453,15 @@
 	const costs = [{ service: 3_000_000_000, reading: line, copying: line, ...pauses }];
 	const demand = { long: 1.25, short: 0.5 };
 	const pace = { reading: { weight: 2, sum: 1 }, steps: { weight: 0.5, sum: -0.25 } };
-	const told = news({
+	const told = gossipMessage({
 		kind: 'fleet',
 		work,
-		reads,
+		cacheUpdates: reads,
 		demand,
-		readers,
-		heard,
+		storeReaders: readers,
+		reportAcks: heard,
 		engines,
-		vms: 195,
+		vmCount: 195,
 		costs,
 		answers: [{ engine: 4_000_000_000, failed: 4, served: 1, failingVms: 3 }],
 		speeds: [{ service: 3_000_000_000, engines: [{ engine: 4_000_000_000, ...pace }] }],
@@ -473,7 +475,7 @@
 });
 
 cucumber.Then('they are the same after encoding and decoding', function (this: FleetWorld) {
-	const told = seen<PeerNews>(this, 'news');
+	const told = seen<GossipMessage>(this, 'news');
 	assert.deepEqual(datagrams.newsIn(encodeNews(told)), told);
 });
 
@@ -481,7 +483,7 @@
 	const sender = new datagrams.PeerDatagrams(silentLog, noListener);
 	await sender.bind({ host: '127.0.0.1', port: 0 });
 	sender.close();
-	sender.sendNews([{ host: '127.0.0.1', port: 9 }], seen<PeerNews>(this, 'news'));
+	sender.sendNews([{ host: '127.0.0.1', port: 9 }], seen<GossipMessage>(this, 'news'));
 });
 
 const noListener: datagrams.PeerListener = {
@@ -521,7 +523,7 @@
 cucumber.Then(
 	'a datagram of them with any field of another type is refused',
 	function (this: FleetWorld) {
-		const row = msgpack.decode(encodeNews(seen<PeerNews>(this, 'news'))) as unknown[];
+		const row = msgpack.decode(encodeNews(seen<GossipMessage>(this, 'news'))) as unknown[];
 		for (const place of placesOf(row)) {
 			const bytes = msgpack.encode(replaceAt(row, place, { of: 'another type' }));
 			assert.equal(datagrams.hand(bytes, noListener), false, place.join('.'));
--- a/test/steps/relay-news.steps.ts
+++ b/test/steps/relay-gossip.steps.ts
@@ -26,7 +26,7 @@
 }
 
 function memberOf(fleet: SimulatedFleet): SimulatedVm {
-	return fleet.running.find((vm) => vm.fleet.sourceSpacingMs !== undefined) ?? lastOf(fleet);
+	return fleet.running.find((vm) => vm.fleet.aggregatorIntervalMs !== undefined) ?? lastOf(fleet);
 }
 
 function lastOf(fleet: SimulatedFleet): SimulatedVm {
@@ -36,7 +36,7 @@
 function assertKnown(fleet: SimulatedFleet): void {
 	const engines = new Set(fleet.vms.flatMap((vm) => [...vm.work.keys()]));
 	for (const engine of engines) {
-		const wrong = fleet.wrongAt(engine);
+		const wrong = fleet.findMismatches(engine);
 		assert.deepEqual(wrong, [], `${engine} has ${fleet.runningAt(engine, 0)}`);
 	}
 }
@@ -60,7 +60,7 @@
 	function (this: FleetWorld, engines: number) {
 		const fleet = fleetOf(this);
 		for (const [at, vm] of fleet.running.entries()) {
-			fleet.add(vm, `engine-${(at * 7) % engines}`, 1);
+			fleet.addRequests(vm, `engine-${(at * 7) % engines}`, 1);
 		}
 	},
 );
@@ -94,7 +94,7 @@
 	const fleet = fleetOf(this);
 	for (const vm of fleet.running) {
 		for (const [engine, running] of vm.work) {
-			fleet.add(vm, engine, -running);
+			fleet.addRequests(vm, engine, -running);
 		}
 	}
 });
@@ -112,7 +112,7 @@
 			fleet.resetCounts();
 			for (let round = 0; round < 5 * perSecond; round++) {
 				for (const [at, vm] of fleet.running.entries()) {
-					fleet.add(vm, `engine-${(at + round) % 60}`, 1);
+					fleet.addRequests(vm, `engine-${(at + round) % 60}`, 1);
 				}
 				fleet.run(1000 / perSecond);
 			}
@@ -183,7 +183,7 @@
 	heal: (_, vm) => {
 		vm.side = 0;
 	},
-	work: (fleet, vm) => vm.isRunning && fleet.add(vm, `engine-${vm.side}`, 1),
+	work: (fleet, vm) => vm.isRunning && fleet.addRequests(vm, `engine-${vm.side}`, 1),
 };
 
 cucumber.Then(
@@ -199,7 +199,7 @@
 			fc.property(sequences, fc.nat(1000), (happening, seed) => {
 				const fleet = new SimulatedFleet(size, 3, seed + 1);
 				fleet.run(1000);
-				fleet.lost = 0.05;
+				fleet.lossRate = 0.05;
 				for (const { kind, vm, pauseMs } of happening) {
 					events[kind]?.(fleet, fleet.vms[vm] as SimulatedVm);
 					fleet.run(Math.round(pauseMs / 5) * 5);
@@ -207,7 +207,7 @@
 				for (const vm of fleet.vms) {
 					vm.side = 0;
 				}
-				fleet.lost = 0;
+				fleet.lossRate = 0;
 				fleet.run(6000);
 				assertKnown(fleet);
 			}),
@@ -224,8 +224,8 @@
 			id: `part-${at + part}`,
 			tokens: partTokens,
 		}));
-		vm.fleet.read(parts, partEngine, false);
-		vm.exchange.changed();
+		vm.fleet.recordPrefill(parts, partEngine, false);
+		vm.exchange.markChanged();
 		fleetOf(this).run(100);
 	}
 	this.seen.set('parts', count);
@@ -234,9 +234,9 @@
 cucumber.Then('all VMs know which engine keeps each part', function (this: FleetWorld) {
 	for (const vm of fleetOf(this).running) {
 		for (let at = 0; at < seen<number>(this, 'parts'); at++) {
-			const kept = vm.fleet.keptBy([{ id: `part-${at}`, tokens: partTokens }]);
+			const kept = vm.fleet.cachedTokensByEngine([{ id: `part-${at}`, tokens: partTokens }]);
 			const { cached } = kept.get(rendezvous.hashText(partEngine)) ?? { cached: 0 };
-			assert.equal(cached, partTokens, `${vm.listed.name} part ${at}`);
+			assert.equal(cached, partTokens, `${vm.registration.name} part ${at}`);
 		}
 	}
 });
@@ -255,7 +255,7 @@
 	function (this: FleetWorld, version: number) {
 		const behind = fleetOf(this).running.filter((vm) => vm.fleet.configurationVersion !== version);
 		assert.deepEqual(
-			behind.map((vm) => vm.listed.name),
+			behind.map((vm) => vm.registration.name),
 			[],
 		);
 	},
@@ -265,23 +265,23 @@
 	const fleet = fleetOf(this);
 	fleet.run(1000);
 	const reader = memberOf(fleet);
-	reader.store = { contactAgeMs: 100, revision: 5, digest: 6, dutyToken: 0 };
+	reader.storeStatus = { contactAgeMs: 100, revision: 5, digest: 6, dutyToken: 0 };
 	this.seen.set('reader', reader);
 });
 
 cucumber.When('it reads the store no more', function (this: FleetWorld) {
-	seen<SimulatedVm>(this, 'reader').store = undefined;
+	seen<SimulatedVm>(this, 'reader').storeStatus = undefined;
 });
 
 cucumber.Then('all VMs know that it reads the store', function (this: FleetWorld) {
 	const reader = seen<SimulatedVm>(this, 'reader');
 	const others = fleetOf(this).running.filter((vm) => vm !== reader);
-	assert.ok(others.every((vm) => vm.fleet.storeReaders(1500) === 1));
-	assert.ok(others.every((vm) => vm.storesHeard.size === 1));
+	assert.ok(others.every((vm) => vm.fleet.countStoreReaders(1500) === 1));
+	assert.ok(others.every((vm) => vm.storeReaderAddresses.size === 1));
 });
 
 cucumber.Then('no VM knows of one that reads the store', function (this: FleetWorld) {
-	assert.ok(fleetOf(this).running.every((vm) => vm.fleet.storeReaders(1500) === 0));
+	assert.ok(fleetOf(this).running.every((vm) => vm.fleet.countStoreReaders(1500) === 0));
 });
 
 cucumber.When(
@@ -305,7 +305,7 @@
 	function (this: FleetWorld, least: number, most: number) {
 		for (const vm of fleetOf(this).running) {
 			const speed = 1 / vm.costs.of('pool').readMsPerToken;
-			assert.ok(speed >= least && speed <= most, `${vm.listed.name}: ${speed}`);
+			assert.ok(speed >= least && speed <= most, `${vm.registration.name}: ${speed}`);
 		}
 	},
 );
--- a/test/steps/relay-large-fleet.steps.ts
+++ b/test/steps/relay-large-fleet.steps.ts
@@ -7,7 +7,7 @@
 import type { Engine } from '../../src/core/engines/engine.js';
 import type { FleetView } from '../../src/core/fleet/fleet-view.js';
 import * as rendezvous from '../../src/core/membership/rendezvous.js';
-import { allEngines, clockOf, newFleet, news, seen } from './relay-fakes.js';
+import { allEngines, clockOf, gossipMessage, newFleetView, seen } from './relay-fakes.js';
 import { place, startEngines } from './relay-placement.steps.js';
 import type { FleetWorld } from './world.js';
 
@@ -24,7 +24,7 @@
 		for (let peer = 0; peer < peers; peer++) {
 			const told = new Map<string, number>();
 			for (let seq = 0; seq < messages; seq++) {
-				const own = newFleet(this);
+				const own = newFleetView(this);
 				const whole = seq % 3 === 0;
 				const engine = engines[(peer * 7 + seq * 13) % count] as Engine;
 				const running = 1 + ((peer + seq) % 4);
@@ -33,10 +33,10 @@
 					told.clear();
 				}
 				told.set(engine.id, running);
-				const work = own.takeGroup().flatMap((told) => told.work);
+				const work = own.composeGroup().flatMap((told) => told.work);
 				const from = rendezvous.hashText(engine.id);
 				const range = whole ? allEngines : { from, to: from + 1 };
-				fleet.receive(news({ from: `peer-${peer}`, seq, engines: range, work }));
+				fleet.receive(gossipMessage({ from: `peer-${peer}`, seq, engines: range, work }));
 			}
 			for (const [id, running] of told) {
 				expected.set(id, (expected.get(id) ?? 0) + running);
--- a/test/steps/relay-placement.steps.ts
+++ b/test/steps/relay-placement.steps.ts
@@ -15,7 +15,7 @@
 import type { FleetView } from '../../src/core/fleet/fleet-view.js';
 import type { CallerRequest } from '../../src/core/relay/definitions.js';
 import * as platform from '../../src/platform/index.js';
-import { clockOf, entry, newFleet, seen, sequence, unlimited } from './relay-fakes.js';
+import { clockOf, entry, newFleetView, seededRandom, seen, unlimited } from './relay-fakes.js';
 import type { FleetWorld } from './world.js';
 
 cucumber.Given(
@@ -45,7 +45,7 @@
 );
 
 export function startEngines(world: FleetWorld, count: number): void {
-	const fleet = newFleet(world);
+	const fleet = newFleetView(world);
 	const ids = Array.from({ length: count }, (_, at) => `engine-${at}`);
 	world.seen.set('fleet', fleet);
 	world.seen.set(
@@ -85,7 +85,7 @@
 	const result = seen<EnginePlacement>(world, 'placement').choose(req, engines, 0);
 	if ('engine' in result && isCounted) {
 		fleet.changeWork(result.engine.id, { running: 1, promptTokens: result.promptTokens });
-		fleet.read(req.parts.slice(0, -1), result.engine.id, false);
+		fleet.recordPrefill(req.parts.slice(0, -1), result.engine.id, false);
 		const placed = seen<Map<string, string[]>>(world, 'placed');
 		placed.set(result.engine.id, [...(placed.get(result.engine.id) ?? []), label]);
 	}
@@ -249,7 +249,7 @@
 );
 
 cucumber.When('news may be {int} ms old', function (this: FleetWorld, ms: number) {
-	seen<FleetView>(this, 'fleet').newsAgeMs = ms;
+	seen<FleetView>(this, 'fleet').maxGossipAgeMs = ms;
 });
 
 cucumber.Then('it is placed', function (this: FleetWorld) {
@@ -348,7 +348,7 @@
 
 cucumber.When('the first event of the first comes', function (this: FleetWorld) {
 	const { id } = seen<Engine>(this, 'first');
-	seen<FleetView>(this, 'fleet').read([{ id: 'shared', tokens: 5000 }], id, true);
+	seen<FleetView>(this, 'fleet').recordPrefill([{ id: 'shared', tokens: 5000 }], id, true);
 });
 
 cucumber.Given(
@@ -357,7 +357,7 @@
 		startEngines(this, count);
 		const fleet = seen<FleetView>(this, 'fleet');
 		for (const { id } of seen<Engine[]>(this, 'engines').slice(0, readers)) {
-			fleet.read([{ id: 'shared', tokens }], id, true);
+			fleet.recordPrefill([{ id: 'shared', tokens }], id, true);
 			fleet.changeWork(id, { promptTokens: 600_000 });
 		}
 	},
@@ -366,7 +366,7 @@
 cucumber.When(
 	'{int} prompts of {int} tokens that share it are placed on the others',
 	function (this: FleetWorld, prompts: number, promptTokens: number) {
-		const next = sequence(5);
+		const next = seededRandom(5);
 		seen<{ random: { next: () => number } }>(this, 'ports').random.next = next;
 		const sources = new Map<string, number>();
 		for (let at = 0; at < prompts; at++) {
--- a/test/steps/relay-transfers.steps.ts
+++ b/test/steps/relay-transfers.steps.ts
@@ -8,7 +8,7 @@
 import type { CallerRequest } from '../../src/core/relay/definitions.js';
 import { CallersFront } from '../../src/infra/relay/callers-front.js';
 import { PeerTransfers } from '../../src/infra/relay/peer-transfers.js';
-import { clockOf, seen, sequence, silentLog } from './relay-fakes.js';
+import { clockOf, seededRandom, seen, silentLog } from './relay-fakes.js';
 import type { FleetWorld } from './world.js';
 
 const path = '/configuration';
@@ -26,7 +26,7 @@
 
 /** A configuration whose names are as hard to compress as real ones. */
 function configurationText(routes: number): string {
-	const next = sequence(5);
+	const next = seededRandom(5);
 	const word = (length: number) =>
 		Array.from({ length }, () => Math.floor(next() * 36).toString(36)).join('');
 	const one = () => ({
--- a/test/steps/simulated-crashes.ts
+++ b/test/steps/simulated-crashes.ts
@@ -4,7 +4,7 @@
  */
 import type { Engine } from '../../src/core/engines/engine.js';
 import type { Quarantine } from '../../src/core/quarantine/quarantine.js';
-import { sequence } from './relay-fakes.js';
+import { seededRandom } from './relay-fakes.js';
 import type { SimulatedVm } from './simulated-fleet.js';
 import { SimulatedFleet } from './simulated-fleet.js';
 
@@ -71,7 +71,7 @@
 
 	constructor(private readonly load: CrashLoadOptions) {
 		this.fleet = new SimulatedFleet(load.vms, 3, load.seed);
-		this.next = sequence(load.seed);
+		this.next = seededRandom(load.seed);
 		for (let index = 0; index < load.engines; index++) {
 			this.up.add(++this.lastEngineRef);
 		}
--- a/test/steps/simulated-duties.ts
+++ b/test/steps/simulated-duties.ts
@@ -9,7 +9,7 @@
 import { UsageCounter } from '../../src/core/duties/usage-counter.js';
 import { UsageReporter } from '../../src/core/duties/usage-reporter.js';
 import { UsageSender } from '../../src/core/duties/usage-sender.js';
-import { sequence, silentLog } from './relay-fakes.js';
+import { seededRandom, silentLog } from './relay-fakes.js';
 import { SimulatedApi, SimulatedStore, SimulatedTime } from './simulated-platform.js';
 
 export const leaseMs = 3000;
@@ -60,7 +60,7 @@
 		seed = 1,
 		private readonly checksTokens = true,
 	) {
-		this.next = sequence(seed);
+		this.next = seededRandom(seed);
 		this.store.onRestored = (name) => {
 			const vm = this.vms.find((one) => one.name === name);
 			vm?.reporter.handleStoreRestored();
--- a/test/steps/simulated-fleet.ts
+++ b/test/steps/simulated-fleet.ts
@@ -5,11 +5,11 @@
  */
 import { CostModel } from '../../src/core/engines/cost-model.js';
 import { FleetHealth } from '../../src/core/engines/fleet-health.js';
-import type { ListedVm } from '../../src/core/fleet/aggregator-selection.js';
+import type { RegisteredVm } from '../../src/core/fleet/aggregator-selection.js';
 import { AggregatorSelection, addressOf } from '../../src/core/fleet/aggregator-selection.js';
 import { FleetView } from '../../src/core/fleet/fleet-view.js';
-import { NewsExchange } from '../../src/core/fleet/news-exchange.js';
-import type { PeerNews, StoreNews } from '../../src/core/fleet/types.js';
+import { GossipExchange } from '../../src/core/fleet/gossip-exchange.js';
+import type { GossipMessage, StoreStatus } from '../../src/core/fleet/types.js';
 import { FleetLimits } from '../../src/core/limits/fleet-limits.js';
 import { issuerRank } from '../../src/core/limits/issuer-election.js';
 import { Quarantine } from '../../src/core/quarantine/quarantine.js';
@@ -17,7 +17,7 @@
 import { encodePermitAnswer, encodePermitAsk } from '../../src/infra/relay/limit-codec.js';
 import { encodeNews } from '../../src/infra/relay/news-codec.js';
 import { hand } from '../../src/infra/relay/peer-datagrams.js';
-import { StepClock, sequence, silentLog } from './relay-fakes.js';
+import { ManualClock, seededRandom, silentLog } from './relay-fakes.js';
 
 const stepMs = 5;
 const updateMs = 100;
@@ -32,12 +32,12 @@
 }
 
 export interface SimulatedVm {
-	listed: ListedVm;
+	registration: RegisteredVm;
 	isRunning: boolean;
 	/** Side of a cut: VMs of different sides do not hear each other. */
 	side: number;
 	fleet: FleetView;
-	exchange: NewsExchange;
+	exchange: GossipExchange;
 	costs: CostModel;
 	quarantine: Quarantine;
 	limits: FleetLimits;
@@ -47,29 +47,29 @@
 	sent: number;
 	received: number;
 	sentBytes: number;
-	store?: StoreNews;
-	storesHeard: Set<string>;
-	newestSeen: number;
+	storeStatus?: StoreStatus;
+	storeReaderAddresses: Set<string>;
+	newestVersion: number;
 }
 
 export class SimulatedFleet {
-	readonly clock = new StepClock();
+	readonly clock = new ManualClock();
 	readonly vms: SimulatedVm[] = [];
 	/** Shares of datagrams that are lost, and that come twice. */
-	lost = 0;
-	doubled = 0;
+	lossRate = 0;
+	duplicationRate = 0;
 	private readonly byAddress = new Map<string, SimulatedVm>();
 	private flying: Datagram[] = [];
 	private readonly next: () => number;
 	private lives = 0;
 
 	constructor(count: number, domains: number, seed = 1) {
-		this.next = sequence(seed);
+		this.next = seededRandom(seed);
 		for (let at = 0; at < count; at++) {
 			const address = { host: `10.${at % domains}.0.${at}`, port: 7000 };
 			const cores = at < domains * 2 ? 1.35 : 0.324;
 			const listed = { name: `vm-${at}`, domain: `domain-${at % domains}`, address, cores };
-			const vm = { listed, side: 0 } as SimulatedVm;
+			const vm = { registration: listed, side: 0 } as SimulatedVm;
 			this.vms.push(vm);
 			this.byAddress.set(addressOf(address), vm);
 			this.start(vm);
@@ -78,13 +78,14 @@
 
 	/** Starts a VM's process, or starts it anew. */
 	start(vm: SimulatedVm): void {
-		const { listed } = vm;
+		const { registration: listed } = vm;
 		const costs = new CostModel();
-		const onNews = () => vm.exchange.changed();
+		const onNews = () => vm.exchange.markChanged();
 		const isPortClosed = async () => false;
 		const ports = { clock: this.clock, log: silentLog, onNews, isPortClosed };
 		const quarantine = new Quarantine(ports);
-		const others = () => this.vms.filter((other) => other !== vm).map((other) => other.listed);
+		const others = () =>
+			this.vms.filter((other) => other !== vm).map((other) => other.registration);
 		const limits = new FleetLimits({
 			clock: this.clock,
 			log: silentLog,
@@ -96,7 +97,7 @@
 			vms: () => this.vms.length,
 			sendPermitRequest: (to, ask) => this.sendBytes(vm, to, encodePermitAsk(ask)),
 			sendPermitResponse: (to, answer) => this.sendBytes(vm, to, encodePermitAnswer(answer)),
-			onNews: () => vm.exchange?.changed(),
+			onNews: () => vm.exchange?.markChanged(),
 			onDueChanged() {},
 		});
 		const health = new FleetHealth({
@@ -104,7 +105,7 @@
 			log: silentLog,
 			random: { next: this.next, hex: () => '' },
 			heardVms: () => fleet.size,
-			onNews: () => vm.exchange.changed(),
+			onNews: () => vm.exchange.markChanged(),
 			engineId: () => undefined,
 		});
 		const fleet = new FleetView({
@@ -112,26 +113,26 @@
 			address: addressOf(listed.address),
 			clock: this.clock,
 			log: silentLog,
-			life: ++this.lives,
+			incarnation: ++this.lives,
 			costs,
 			answers: health,
 			onNewerConfiguration: (_, version) => {
-				vm.newestSeen = Math.max(vm.newestSeen, version);
+				vm.newestVersion = Math.max(vm.newestVersion, version);
 				fleet.configurationVersion = Math.max(fleet.configurationVersion, version);
 				vm.exchange.sendNow();
 			},
-			onStoreNews: (address) => vm.storesHeard.add(address),
-			storeNews: () => vm.store,
+			onStoreStatus: (address) => vm.storeReaderAddresses.add(address),
+			storeStatus: () => vm.storeStatus,
 			crashes: quarantine.ledger,
 			limits,
 		});
-		const exchange = new NewsExchange({
+		const exchange = new GossipExchange({
 			clock: this.clock,
 			log: silentLog,
 			fleet,
 			selection: new AggregatorSelection(listed),
 			self: listed.address,
-			listed: others,
+			otherVms: others,
 			seeds: () => [],
 			send: (to, news) => this.send(vm, to, news),
 		});
@@ -147,8 +148,8 @@
 			sent: 0,
 			received: 0,
 			sentBytes: 0,
-			storesHeard: new Set(),
-			newestSeen: 0,
+			storeReaderAddresses: new Set(),
+			newestVersion: 0,
 		});
 		exchange.update();
 	}
@@ -158,10 +159,10 @@
 	}
 
 	/** Requests begin at an engine, or end when negative. */
-	add(vm: SimulatedVm, engine: string, running: number): void {
+	addRequests(vm: SimulatedVm, engine: string, running: number): void {
 		vm.work.set(engine, (vm.work.get(engine) ?? 0) + running);
 		vm.fleet.changeWork(engine, { running, promptTokens: running * 100 });
-		vm.exchange.changed();
+		vm.exchange.markChanged();
 	}
 
 	run(ms: number): void {
@@ -176,7 +177,7 @@
 					vm.limits.update();
 					vm.health.sweep();
 				}
-				vm.exchange.run();
+				vm.exchange.sendDue();
 				vm.limits.run();
 			}
 		}
@@ -193,11 +194,11 @@
 	}
 
 	/** VMs that think of another number of requests at an engine than there are on their side. */
-	wrongAt(engine: string): string[] {
+	findMismatches(engine: string): string[] {
 		const wrong = this.running.filter((vm) => {
 			return vm.fleet.workAt(engine).running !== this.runningAt(engine, vm.side);
 		});
-		return wrong.map((vm) => `${vm.listed.name}: ${vm.fleet.workAt(engine).running}`);
+		return wrong.map((vm) => `${vm.registration.name}: ${vm.fleet.workAt(engine).running}`);
 	}
 
 	resetCounts(): void {
@@ -206,7 +207,7 @@
 		}
 	}
 
-	private send(from: SimulatedVm, to: readonly HostPort[], news: PeerNews): void {
+	private send(from: SimulatedVm, to: readonly HostPort[], news: GossipMessage): void {
 		const bytes = encodeNews(news);
 		if (bytes.length > mostBytes) {
 			throw new Error(`${news.kind} of ${bytes.length} bytes`);
@@ -219,10 +220,10 @@
 	private sendBytes(from: SimulatedVm, to: string, bytes: Uint8Array): void {
 		from.sent++;
 		from.sentBytes += bytes.length;
-		const copies = this.next() < this.lost ? 0 : this.next() < this.doubled ? 2 : 1;
+		const copies = this.next() < this.lossRate ? 0 : this.next() < this.duplicationRate ? 2 : 1;
 		for (let copy = 0; copy < copies; copy++) {
 			const at = this.clock.now + 0.5 + this.next() * 8;
-			this.flying.push({ at, from: addressOf(from.listed.address), to, bytes });
+			this.flying.push({ at, from: addressOf(from.registration.address), to, bytes });
 		}
 	}
 
--- a/test/steps/store-restored.steps.ts
+++ b/test/steps/store-restored.steps.ts
@@ -13,7 +13,7 @@
 	assertTokensInOrder,
 	dutiesOf,
 } from './duties.steps.js';
-import { StepClock, seen } from './relay-fakes.js';
+import { ManualClock, seen } from './relay-fakes.js';
 import { engineOf, fixtureOf } from './relay-fixture.js';
 import { until } from './relay-world.js';
 import type { FleetWorld } from './world.js';
@@ -89,7 +89,7 @@
 	const { store } = fixtureOf(this);
 	await store.start();
 	const [host = '', port = ''] = (await store.addressFor('127.0.0.1')).split(':');
-	this.seen.set('client', new PlatformStore({ host, port: Number(port) }, new StepClock()));
+	this.seen.set('client', new PlatformStore({ host, port: Number(port) }, new ManualClock()));
 });
 
 async function revisionOf(client: PlatformStore): Promise<number> {
--- a/test/steps/suspension.steps.ts
+++ b/test/steps/suspension.steps.ts
@@ -24,11 +24,11 @@
 import { PrefixFollower } from '../../src/core/store/prefix-follower.js';
 import { SuspensionMeter } from '../../src/core/time/suspension-meter.js';
 import {
-	allWell,
+	alwaysHealthy,
 	clockOf,
 	entry,
-	newFleet,
-	news,
+	gossipMessage,
+	newFleetView,
 	noRequestLimits,
 	route,
 	seen,
@@ -95,11 +95,11 @@
 			prefix: 'vms/',
 			self: { name: 'vm-1', domain: 'z', cores: 1, address: { host: '10.0.0.1', port: 1 } },
 			sleep: (ms) => new Promise((end) => sleeps.waiting.push({ ms, end })),
-			renewMs: () => everyMs,
-			isStoreAway: () => false,
-			onUnreachable() {},
+			renewalIntervalMs: () => everyMs,
+			isStoreUnavailable: () => false,
+			onStoreUnreachable() {},
 		});
-		void registry.keep();
+		void registry.run();
 		this.seen.set('sleeps', sleeps);
 		this.seen.set('renewals', renewals);
 		// The pause before the second read of the other VMs.
@@ -122,16 +122,16 @@
 cucumber.Given(
 	'a VM that hears of a reader that the store answered just now',
 	function (this: FleetWorld) {
-		const fleet = newFleet(this);
+		const fleet = newFleetView(this);
 		const reader = { address: '10.0.0.2:1', contactAgeMs: 0, revision: 1, digest: 1, dutyToken: 0 };
-		fleet.receive(news({ readers: [reader] }));
-		assert.equal(fleet.storeReaders(1500), 1);
+		fleet.receive(gossipMessage({ storeReaders: [reader] }));
+		assert.equal(fleet.countStoreReaders(1500), 1);
 		this.seen.set('fleet', fleet);
 	},
 );
 
 cucumber.Then('it hears of no reader that the store answered lately', function (this: FleetWorld) {
-	assert.equal(seen<FleetView>(this, 'fleet').storeReaders(1500), 0);
+	assert.equal(seen<FleetView>(this, 'fleet').countStoreReaders(1500), 0);
 });
 
 cucumber.Given('a VM that follows the store', async function (this: FleetWorld) {
@@ -257,9 +257,9 @@
 		},
 		budget: new RetryBudget(retries, () => 1),
 		quarantine: new Quarantine({ clock, log: silentLog, onNews() {}, isPortClosed }),
-		fleet: newFleet(world),
+		fleet: newFleetView(world),
 		limits: noRequestLimits,
-		fleetHealth: allWell,
+		fleetHealth: alwaysHealthy,
 		costs: new CostModel(),
 		metrics: { ended() {}, denied() {}, retried() {}, engineClosed() {} },
 		onWorkChanged() {},
