--- a/src/core/fleet/aggregator-selection.ts
+++ b/src/core/fleet/aggregator-selection.ts
@@ -1,61 +1,56 @@
 /**
- * Which VMs gather the news of a failure domain and pass on its sums. If every VM tells every other, messages grow
- * with the square of the fleet: 195 VMs sent 31,000 datagrams a second, and still heard each other's work only each
- * 1.2 s, which is older than most targets. With one aggregator for each 32 VMs of a domain each VM sends to one, and an aggregator to
- * its members and the other aggregators.
- *
- * All VMs rank the registered ones alike, so they agree without a vote; a wrong guess costs a datagram. One that is
- * silent is passed over for a while. No VM needs the role to be confirmed: one that gets reports serves them.
+ * Selects the aggregators of each failure domain, which keeps the number of gossip messages from growing with the square of
+ * the fleet. All VMs compute the same ranking, so they agree without an election; silent aggregators are excluded for a while.
  * @module
  */
 import * as rendezvous from '../membership/rendezvous.js';
 import type { HostPort } from '../relay/settings.js';
 import { smallFleetSize } from './reader-selection.js';
 
-/** VMs of one aggregator in the mean, at the most: its datagrams are then some forty each round. */
-const membersEach = 32;
+/** Maximum VMs per aggregator, on average over a domain. */
+const maxVmsPerAggregator = 32;
 /**
- * A silent aggregator is passed over for so long, in milliseconds: as long as a VM takes to start. Each time that it is
- * found silent again the time doubles, up to the longest: a registration outlives its VM by up to 20 s.
+ * A silent aggregator is excluded for as long as a VM takes to start. The time doubles with each repetition, since a
+ * registration may outlive its VM.
  */
-const firstPassOverMs = 4000;
-const longestPassOverMs = 16_000;
+const minExclusionMs = 4000;
+const maxExclusionMs = 16_000;
 
-/** A VM as its registration tells. */
+/** A VM as described by its registration. */
 export interface RegisteredVm {
 	name: string;
 	/** Failure domain. */
 	domain: string;
-	/** Where it hears news. */
+	/** Where the VM receives gossip. */
 	address: HostPort;
-	/** Processor that it has, in cores. */
+	/** CPU quota in cores. */
 	cores: number;
 }
 
-interface PassedOver {
+interface Exclusion {
 	until: number;
-	lastMs: number;
+	durationMs: number;
 }
 
 export class AggregatorSelection {
-	private readonly passedOver = new Map<string, PassedOver>();
-	private listed?: readonly RegisteredVm[];
+	private readonly exclusions = new Map<string, Exclusion>();
+	private others?: readonly RegisteredVm[];
 	private vms: readonly RegisteredVm[] = [];
 	private key = '';
-	/** VMs of each domain, the first choice first. */
+	/** VMs of each domain in order of preference. */
 	private ranked = new Map<string, RegisteredVm[]>();
-	/** The choice while none is passed over; looked up several times a second. */
+	/** Cached choice while no VM is excluded. */
 	private firstChoice?: RegisteredVm;
 	private isStopping = false;
 
 	constructor(private readonly self: RegisteredVm) {}
 
-	/** @param others those registered beside this VM */
+	/** @param others registered VMs except this one */
 	update(others: readonly RegisteredVm[]): void {
-		if (others === this.listed) {
+		if (others === this.others) {
 			return;
 		}
-		this.listed = others;
+		this.others = others;
 		const vms = [this.self, ...others];
 		const key = vms.map((vm) => `${vm.name} ${addressOf(vm.address)} ${vm.cores}`).join(',');
 		if (key !== this.key) {
@@ -66,41 +61,41 @@
 		}
 	}
 
-	/** This VM stops: it serves nobody. */
+	/** Whether this VM is stopping and no longer acts as an aggregator. */
 	get isRetired(): boolean {
 		return this.isStopping;
 	}
 
-	set isRetired(isRetired: boolean) {
-		this.isStopping = isRetired;
+	set isRetired(isStopping: boolean) {
+		this.isStopping = isStopping;
 		this.firstChoice = undefined;
 	}
 
-	/** Whether another VM is registered. */
+	/** Whether other VMs are registered. */
 	get hasOthers(): boolean {
 		return this.vms.length > 1;
 	}
 
-	/** In a small fleet each VM tells all others itself. */
+	/** Whether the fleet is small enough that each VM sends gossip to all others. */
 	get isSmallFleet(): boolean {
 		return this.vms.length <= smallFleetSize;
 	}
 
-	/** The VM that should gather this VM's news; it may be this one. */
+	/** Returns the VM that this one should report to; it may be this one itself. */
 	chooseAggregator(now: number): RegisteredVm {
 		if (this.isSmallFleet) {
 			return this.self;
 		}
-		if (this.passedOver.size > 0) {
-			return this.choose(now);
+		if (this.exclusions.size > 0) {
+			return this.selectByScore(now);
 		}
-		this.firstChoice ??= this.choose(now);
+		this.firstChoice ??= this.selectByScore(now);
 		return this.firstChoice;
 	}
 
-	private choose(now: number): RegisteredVm {
-		const first = this.firstOf(this.self.domain, now);
-		const scored = first.map((vm) => ({
+	private selectByScore(now: number): RegisteredVm {
+		const candidates = this.topOf(this.self.domain, now);
+		const scored = candidates.map((vm) => ({
 			vm,
 			score: rendezvous.scoreOf(this.self.name, vm.name),
 		}));
@@ -109,53 +104,53 @@
 	}
 
 	/**
-	 * Other VMs that should be told this VM's sums while it is an aggregator. The first choice of each domain is told also
-	 * when it is passed over: after a cut between domains both sides are heard at once.
+	 * Returns the VMs that should receive this VM's sums while it is an aggregator. Includes the preferred VMs of each
+	 * domain even while they are excluded, so both sides reconnect at once after a network partition.
 	 */
 	otherAggregators(now: number): HostPort[] {
-		const chosen = this.isSmallFleet
+		const selected = this.isSmallFleet
 			? this.vms
 			: [...this.ranked].flatMap(([domain, ranked]) => [
-					...ranked.slice(0, countOf(ranked)),
-					...this.firstOf(domain, now),
+					...ranked.slice(0, aggregatorCount(ranked)),
+					...this.topOf(domain, now),
 				]);
-		return chosen.filter((vm) => vm.name !== this.self.name).map((vm) => vm.address);
+		return selected.filter((vm) => vm.name !== this.self.name).map((vm) => vm.address);
 	}
 
-	/** A VM did not answer where it should have. */
+	/** Excludes a VM that did not answer. */
 	exclude(address: string, now: number): void {
-		const before = this.passedOver.get(address)?.lastMs ?? 0;
-		const lastMs = Math.min(Math.max(firstPassOverMs, before * 2), longestPassOverMs);
-		this.passedOver.set(address, { until: now + lastMs, lastMs });
+		const previousMs = this.exclusions.get(address)?.durationMs ?? 0;
+		const durationMs = Math.min(Math.max(minExclusionMs, previousMs * 2), maxExclusionMs);
+		this.exclusions.set(address, { until: now + durationMs, durationMs });
 	}
 
-	/** A VM serves as it should. */
+	/** Ends the exclusion of a VM that answered. */
 	readmit(address: string): void {
-		this.passedOver.delete(address);
+		this.exclusions.delete(address);
 	}
 
 	isExcluded(address: string, now: number): boolean {
-		return now < (this.passedOver.get(address)?.until ?? 0);
+		return now < (this.exclusions.get(address)?.until ?? 0);
 	}
 
-	/** The first of a domain that are not passed over, as many as its size asks for. */
-	private firstOf(domain: string, now: number): RegisteredVm[] {
+	/** Returns the preferred VMs of a domain that are not excluded, as many as it needs. */
+	private topOf(domain: string, now: number): RegisteredVm[] {
 		const ranked = this.ranked.get(domain) ?? [];
 		const usable = ranked.filter((vm) => this.isUsable(vm, now));
-		return usable.slice(0, countOf(ranked));
+		return usable.slice(0, aggregatorCount(ranked));
 	}
 
 	private isUsable(vm: RegisteredVm, now: number): boolean {
 		if (vm.name === this.self.name) {
 			return !this.isStopping;
 		}
-		return this.passedOver.size === 0 || !this.isExcluded(addressOf(vm.address), now);
+		return this.exclusions.size === 0 || !this.isExcluded(addressOf(vm.address), now);
 	}
 }
 
-/** Aggregators that a domain needs. */
-function countOf(ranked: readonly RegisteredVm[]): number {
-	return Math.ceil(ranked.length / membersEach);
+/** Returns the number of aggregators that a domain needs. */
+function aggregatorCount(ranked: readonly RegisteredVm[]): number {
+	return Math.ceil(ranked.length / maxVmsPerAggregator);
 }
 
 export function addressOf({ host, port }: HostPort): string {
@@ -163,11 +158,11 @@
 }
 
 export function parseAddress(text: string): HostPort {
-	const at = text.lastIndexOf(':');
-	return { host: text.slice(0, at), port: Number(text.slice(at + 1)) };
+	const colon = text.lastIndexOf(':');
+	return { host: text.slice(0, colon), port: Number(text.slice(colon + 1)) };
 }
 
-/** The VMs with the most processor first: the smallest spend a third of a core on what the largest hardly notice. */
+/** Ranks the VMs of each domain, those with the most CPU first, since aggregation is costly for small VMs. */
 function rank(vms: readonly RegisteredVm[]): Map<string, RegisteredVm[]> {
 	const ranked = new Map<string, RegisteredVm[]>();
 	for (const vm of vms) {
--- a/src/core/fleet/demand-meter.ts
+++ b/src/core/fleet/demand-meter.ts
@@ -1,21 +1,21 @@
 /**
- * Work that callers bring to this VM, over the last seconds, in engines kept busy by it.
+ * Exponential moving average of the work that callers bring to this VM, as the number of engines it keeps busy.
  * @module
  */
 import type { Demand } from './types.js';
 
-/** Time constant of the mean, in milliseconds: follows a burst within a second or two. */
-const meanMs = 1500;
+/** Time constant of the average. */
+const timeConstantMs = 1500;
 
 export class DemandMeter {
 	private long = 0;
 	private short = 0;
-	private at = 0;
+	private updatedAt = 0;
 
-	/** @param workMs how long the request keeps an engine busy */
+	/** @param workMs time for which the request keeps an engine busy */
 	add(workMs: number, isLong: boolean, now: number): void {
 		this.decay(now);
-		const rate = workMs / meanMs;
+		const rate = workMs / timeConstantMs;
 		if (isLong) {
 			this.long += rate;
 		} else {
@@ -29,8 +29,8 @@
 	}
 
 	private decay(now: number): void {
-		const factor = Math.exp((this.at - now) / meanMs);
-		this.at = now;
+		const factor = Math.exp((this.updatedAt - now) / timeConstantMs);
+		this.updatedAt = now;
 		this.long *= factor;
 		this.short *= factor;
 	}
--- a/src/core/fleet/fleet-size.ts
+++ b/src/core/fleet/fleet-size.ts
@@ -1,27 +1,27 @@
 /**
- * How many VMs share the retry budget. Taken too small, the fleet as a whole would retry too often, so
- * a VM that hears nobody, such as one that has just started or is cut off, counts those it knew.
+ * Number of VMs that share the retry budget. A VM that is isolated or has just started counts the VMs it knew before, since
+ * too low a count would let the fleet retry too often.
  * @module
  */
 
-/** A VM that was not heard of for so long no longer counts, in milliseconds. */
-const rememberedMs = 60_000;
+/** Time for which the largest count stays in force. */
+const retentionMs = 60_000;
 
 export class FleetSize {
 	private largest = 0;
 	private largestAt = Number.NEGATIVE_INFINITY;
 
 	/**
-	 * @param heard VMs heard of now, this one included
-	 * @param registered VMs that the store lists, this one included; undefined before the first read
-	 * @returns VMs to share with; undefined while that is not known
+	 * @param live VMs in the gossip view, this one included
+	 * @param registered VMs registered in the store, this one included; undefined before the first read
+	 * @returns VMs that share the budget; undefined while that is unknown
 	 */
-	count(heard: number, registered: number | undefined, now: number): number | undefined {
-		const seen = Math.max(heard, registered ?? 0);
-		if (seen >= this.largest || now - this.largestAt > rememberedMs) {
-			this.largest = seen;
+	count(live: number, registered: number | undefined, now: number): number | undefined {
+		const current = Math.max(live, registered ?? 0);
+		if (current >= this.largest || now - this.largestAt > retentionMs) {
+			this.largest = current;
 			this.largestAt = now;
 		}
-		return registered === undefined && heard <= 1 ? undefined : this.largest;
+		return registered === undefined && live <= 1 ? undefined : this.largest;
 	}
 }
--- a/src/core/fleet/fleet-view.ts
+++ b/src/core/fleet/fleet-view.ts
@@ -1,9 +1,7 @@
 /**
- * This VM's view of the fleet's work: its own, and what others tell. News carry whole state often enough
- * that a lost or late datagram does no lasting harm.
- *
- * A VM either reports to an aggregator and hears the fleet's sums from it, or is an aggregator itself: then it adds up its members'
- * reports and the sums of the other aggregators. In a small fleet every VM is an aggregator without members.
+ * This VM's view of the fleet, merged from its own work and gossip. A member reports to an aggregator and receives the
+ * fleet's sums; an aggregator adds up its members' reports and the sums of the other aggregators. In a small fleet every
+ * VM is an aggregator without members.
  * @module
  */
 import type { Clock, Log } from '../definitions.js';
@@ -35,47 +33,47 @@
 import { gossipKinds } from './types.js';
 import type { WorkChange } from './work-sums.js';
 
-/** Time between two looks for VMs that fell silent, in milliseconds: a tenth of the least time that makes one silent. */
-const silenceLookMs = 100;
+/** Minimum interval between checks for silent sources. */
+const silenceCheckIntervalMs = 100;
 
 export interface FleetViewOptions {
 	self: string;
-	/** Where peers may fetch the configuration, as IP:PORT. */
+	/** Where peers fetch the configuration, as IP:PORT. */
 	address: string;
 	clock: Clock;
 	log: Log;
-	/** Tells this process from an earlier one of the same VM. */
+	/** Distinguishes this process from earlier ones of the same VM. */
 	incarnation: number;
-	/** A peer has a newer configuration in force. */
+	/** Called when a peer has a newer configuration in force. */
 	onNewerConfiguration: (address: string, version: number) => void;
-	/** What work costs, as this VM has seen; peers add up what each has seen. */
+	/** Cost estimates, merged with those of peers. */
 	costs: CostModel;
-	/** Answers of engines that fail, of this VM and as peers tell. */
+	/** Answers of failing engines, to this VM and to peers. */
 	answers: AnswerNews;
-	/** What this VM tells of the store; undefined while it does not read it itself. */
+	/** State of the store as this VM sees it; undefined while it does not read the store. */
 	storeStatus: () => StoreStatus | undefined;
-	/** A peer that reads the store tells of it. */
+	/** Called with the state of the store that a peer gossips. */
 	onStoreStatus: (address: string, store: StoreStatus) => void;
-	/** What this VM knows of engines that ended. */
+	/** Crashes of engines, known from this VM and from peers. */
 	crashes: CrashGossip;
-	/** What this VM knows of the requests a second that engines take. */
+	/** Request rate limits of engines. */
 	limits: LimitGossip;
 }
 
 export class FleetView {
 	private readonly sources: GossipSources;
 	private readonly work = new FleetWork();
-	private readonly parts = new PrefixCacheTracker();
-	private readonly readers = new StoreReaders();
-	private silenceLookedAt = Number.NEGATIVE_INFINITY;
-	private readonly meter = new DemandMeter();
+	private readonly prefixCache = new PrefixCacheTracker();
+	private readonly storeReaders = new StoreReaders();
+	private silenceCheckedAt = Number.NEGATIVE_INFINITY;
+	private readonly demandMeter = new DemandMeter();
 	private readonly composer: GossipComposer;
 	private aggregator?: string;
 	private isChanged = false;
 	configurationVersion = 0;
-	/** Time between two news of this VM under load, in milliseconds. */
+	/** Interval between this VM's messages under load, in milliseconds. */
 	intervalMs = 0;
-	/** How old news are at the most while all is well, in milliseconds. */
+	/** Maximum age of gossiped state while no message is lost, in milliseconds. */
 	maxGossipAgeMs = 0;
 
 	constructor(private readonly opts: FleetViewOptions) {
@@ -83,87 +81,92 @@
 		this.sources = new GossipSources(opts.clock);
 	}
 
-	/** VMs heard of, directly or in sums, this one included. */
+	/** Number of VMs in the view, this one included. */
 	get size(): number {
-		const heard = this.sources.live();
-		const told = heard.reduce((sum, source) => sum + source.vmCount, 0);
-		return this.aggregator === undefined ? 1 + told : Math.max(1, told);
+		const live = this.sources.live();
+		const vmCount = live.reduce((sum, source) => sum + source.vmCount, 0);
+		return this.aggregator === undefined ? 1 + vmCount : Math.max(1, vmCount);
 	}
 
-	/** VMs that report here. */
+	/** VMs that report to this aggregator. */
 	get members(): GossipSource[] {
 		return this.sources.ofKind(gossipKinds.report);
 	}
 
-	/** Other aggregators that tell their sums here. */
+	/** Aggregators that send their sums to this one. */
 	get otherAggregators(): GossipSource[] {
 		return this.sources.ofKind(gossipKinds.group);
 	}
 
-	/** Time between two news of the aggregator that this VM reports to, in milliseconds; undefined before any came. */
+	/** Interval between messages of this VM's aggregator, in milliseconds; undefined before the first message. */
 	get aggregatorIntervalMs(): number | undefined {
 		return this.sources.ofKind(gossipKinds.fleet)[0]?.intervalMs;
 	}
 
-	/** Whether the sums of an aggregator contain reports of this VM. */
-	isAcknowledgedBy(news: GossipMessage): boolean {
-		return this.heardIn(news) !== undefined;
+	/** Returns whether the sums of an aggregator include a report of this VM. */
+	isAcknowledgedBy(message: GossipMessage): boolean {
+		return this.findAck(message) !== undefined;
 	}
 
-	/** Whether something changed since the last news. */
+	/** Whether the view changed since the last message. */
 	get hasUpdates(): boolean {
-		return this.isChanged || this.parts.upstream.length > 0;
+		return this.isChanged || this.prefixCache.upstream.length > 0;
 	}
 
 	/**
-	 * Sets where this VM's news go. What was told for the other role no longer counts.
-	 * @param address of the aggregator to report to; undefined while this VM is one itself
+	 * Changes the aggregator, and drops sources that belong to the previous role.
+	 * @param address of the aggregator; undefined while this VM is one itself
 	 */
 	reportTo(address: string | undefined): void {
-		const before = this.aggregator;
+		const previous = this.aggregator;
 		this.aggregator = address;
 		this.work.clearReports();
 		for (const source of this.sources.all()) {
-			// The sums of the aggregator before serve until the next one's come.
-			const isKept = before !== undefined && address !== undefined;
-			if (!isKept && !this.countsKind(source.kind)) {
+			// The previous aggregator's sums stay in use until the new one sends its own.
+			const isKept = previous !== undefined && address !== undefined;
+			if (!isKept && !this.isRelevantKind(source.kind)) {
 				this.drop(source);
 			}
 		}
 	}
 
-	/** Peers that the store answered within this time, in milliseconds. */
+	/** Returns the number of peers that had an answer from the store within this time, in milliseconds. */
 	countStoreReaders(withinMs: number): number {
-		return this.readers.count(withinMs, this.sinceBoot);
+		return this.storeReaders.count(withinMs, this.sinceBoot);
 	}
 
 	/**
-	 * The VM that acts for the whole fleet, as news tell; undefined when none was answered by the store within this time,
-	 * in milliseconds.
+	 * Returns the holder of the fleet-wide duty; undefined when no known holder had an answer from the store within this
+	 * time, in milliseconds.
 	 */
 	dutyHolder(withinMs: number): StoreReader | undefined {
-		return this.readers.dutyHolder(withinMs, this.sinceBoot);
+		return this.storeReaders.dutyHolder(withinMs, this.sinceBoot);
 	}
 
-	/** Work of the whole fleet at an engine. */
+	/** Returns the work of the whole fleet at an engine. */
 	workAt(engineKey: string): EngineWork {
-		this.dropSilent();
+		this.dropSilentWork();
 		return this.work.workAt(refOf(engineKey));
 	}
 
-	/** Demand of the whole fleet. */
+	/** Returns the demand on the whole fleet. */
 	demand(): Demand {
-		const own = this.meter.read(this.now);
-		const heard = this.sources.live();
-		const told = sumDemand(heard);
-		// Sums for members contain what they reported.
-		const isContained = this.aggregator !== undefined && heard.length > 0;
-		return isContained ? told : { long: own.long + told.long, short: own.short + told.short };
+		const own = this.demandMeter.read(this.now);
+		const live = this.sources.live();
+		const received = sumDemand(live);
+		// An aggregator's sums already include this VM's own demand.
+		const includesOwn = this.aggregator !== undefined && live.length > 0;
+		return includesOwn
+			? received
+			: { long: own.long + received.long, short: own.short + received.short };
 	}
 
-	/** @param workMs how long a request keeps an engine busy */
+	/**
+	 * Adds a request to the demand.
+	 * @param workMs time for which the request keeps an engine busy
+	 */
 	recordArrival(workMs: number, isLong: boolean): void {
-		this.meter.add(workMs, isLong, this.now);
+		this.demandMeter.add(workMs, isLong, this.now);
 	}
 
 	/** Adds to this VM's own work at an engine. */
@@ -173,21 +176,21 @@
 	}
 
 	/**
-	 * The engine will read these parts for a request of this VM, or has read them.
-	 * @param isDone the first event after them has come
+	 * Records that an engine prefills segments for a request of this VM, or has done so.
+	 * @param isPrefilled the first event of the answer has arrived
 	 */
-	recordPrefill(parts: readonly PromptPart[], engineKey: string, isDone: boolean): void {
-		this.parts.recordPrefill(parts, engineKey, isDone, this.now);
+	recordPrefill(segments: readonly PromptPart[], engineKey: string, isPrefilled: boolean): void {
+		this.prefixCache.recordPrefill(segments, engineKey, isPrefilled, this.now);
 	}
 
-	/** How much of the start of a prompt each engine is believed to keep; those that keep nothing are left out. */
-	cachedTokensByEngine(parts: readonly PromptPart[]): ReadonlyMap<EngineRef, CachedTokens> {
-		return this.parts.cachedTokensByEngine(parts, this.now);
+	/** Estimates how many leading tokens of a prompt each engine has cached; engines without any are omitted. */
+	cachedTokensByEngine(segments: readonly PromptPart[]): ReadonlyMap<EngineRef, CachedTokens> {
+		return this.prefixCache.cachedTokensByEngine(segments, this.now);
 	}
 
 	removeEngine(engineKey: string): void {
 		const ref = refOf(engineKey);
-		this.parts.removeEngine(ref);
+		this.prefixCache.removeEngine(ref);
 		this.work.removeEngine(ref);
 		this.opts.costs.speeds.forgetEngine(ref);
 		for (const source of this.sources.all()) {
@@ -195,81 +198,90 @@
 		}
 	}
 
-	/** This VM's own work, for its aggregator. */
+	/** Builds a report of this VM's own work for its aggregator. */
 	composeReport(): GossipMessage[] {
 		this.isChanged = false;
 		const work = this.work.ownRows();
-		const news = this.compose({
+		const message = this.compose({
 			kind: gossipKinds.report,
 			work,
-			cacheUpdates: this.parts.upstream,
+			cacheUpdates: this.prefixCache.upstream,
 			reportAcks: [],
-			demand: this.meter.read(this.now),
+			demand: this.demandMeter.read(this.now),
 			vmCount: 1,
-			storeReaders: this.ownReader(),
+			storeReaders: this.ownStoreReader(),
 			includedVms: [],
 		});
 		this.work.recordReport(this.composer.seq, work);
-		this.parts.clearDownstream();
-		return news;
+		this.prefixCache.clearDownstream();
+		return message;
 	}
 
-	/** Sums of this VM and its members, for the other aggregators. */
+	/** Builds the sums over this VM and its members for the other aggregators. */
 	composeGroup(): GossipMessage[] {
-		this.dropSilent();
+		this.dropSilentWork();
 		this.isChanged = false;
 		const members = this.members;
-		const own = this.meter.read(this.now);
-		const told = sumDemand(members);
+		const own = this.demandMeter.read(this.now);
+		const reported = sumDemand(members);
 		return this.compose({
 			kind: gossipKinds.group,
 			work: this.work.groupRows(),
-			cacheUpdates: this.parts.upstream,
+			cacheUpdates: this.prefixCache.upstream,
 			reportAcks: [],
-			demand: { long: own.long + told.long, short: own.short + told.short },
+			demand: { long: own.long + reported.long, short: own.short + reported.short },
 			vmCount: 1 + members.length,
-			storeReaders: [...this.ownReader(), ...this.readers.members(this.sinceBoot)],
+			storeReaders: [...this.ownStoreReader(), ...this.storeReaders.members(this.sinceBoot)],
 			includedVms: members.map(({ name }) => name),
 		});
 	}
 
-	/** Sums of the fleet, for the VMs that report here. */
+	/** Builds the sums over the whole fleet for the members. */
 	composeFleet(): GossipMessage[] {
-		this.dropSilent();
+		this.dropSilentWork();
 		return this.compose({
 			kind: gossipKinds.fleet,
 			work: this.work.totalRows(),
-			cacheUpdates: this.parts.downstream,
+			cacheUpdates: this.prefixCache.downstream,
 			reportAcks: this.members.map(({ name, seq }) => ({ vm: refOf(name), seq })),
 			demand: this.demand(),
 			vmCount: this.size,
-			storeReaders: [...this.ownReader(), ...this.readers.all(this.sinceBoot)],
+			storeReaders: [...this.ownStoreReader(), ...this.storeReaders.all(this.sinceBoot)],
 			includedVms: this.sources.names(),
 		});
 	}
 
-	/** @returns whether the news tell anything that those who hear of it from this VM do not know */
-	receive(news: GossipMessage): boolean {
-		if (news.from === this.opts.self || this.sources.isStale(news)) {
+	/**
+	 * Merges a message into the view.
+	 * @returns whether it contains changes to forward
+	 */
+	receive(message: GossipMessage): boolean {
+		if (message.from === this.opts.self || this.sources.isStale(message)) {
 			return false;
 		}
-		const hasVersions = this.takeVersions(news);
-		if (!this.counts(news)) {
-			return hasVersions;
+		const hasSharedChange = this.mergeShared(message);
+		if (!this.isRelevant(message)) {
+			return hasSharedChange;
 		}
-		if (news.isLeaving && news.kind !== gossipKinds.fleet) {
-			this.left(news);
+		if (message.isLeaving && message.kind !== gossipKinds.fleet) {
+			this.removeDeparted(message);
 			return true;
 		}
-		const isNew = this.sources.get(news.from)?.isReplacedBy(news) ?? true;
-		const source = this.sourceOf(news);
-		const hasWork = this.work.merge(source, news, this.heardIn(news));
-		this.parts.merge(news, this.now);
-		const hasAnswers = this.takeSums(news);
-		return hasVersions || isNew || hasWork || hasAnswers || news.cacheUpdates.length > 0;
+		const isNew = this.sources.get(message.from)?.isReplacedBy(message) ?? true;
+		const source = this.updateSource(message);
+		const hasWorkChange = this.work.merge(source, message, this.findAck(message));
+		this.prefixCache.merge(message, this.now);
+		const hasAnswerChange = this.mergeEstimates(message);
+		return (
+			hasSharedChange ||
+			isNew ||
+			hasWorkChange ||
+			hasAnswerChange ||
+			message.cacheUpdates.length > 0
+		);
 	}
 
-	/** Logs VMs that fell silent and forgets them; called each second. */
+	/** Logs and removes silent sources; called once a second. */
 	sweep(): void {
 		for (const source of this.sources.silent()) {
 			this.drop(source);
@@ -282,37 +294,37 @@
 		return this.opts.clock.monotonic();
 	}
 
-	/** For how old the word of others about the store is: that ages while this VM is suspended. */
+	/** Clock for the age of store contacts, which also advances while the VM is suspended. */
 	private get sinceBoot(): number {
 		return this.opts.clock.sinceBoot();
 	}
 
 	/**
-	 * Configurations, changes in the store and engines that ended are of use whoever tells them.
-	 * @returns whether any of them is new
+	 * Merges what is valid from any sender: configuration version, store readers, crashes and limits.
+	 * @returns whether any of it is new
 	 */
-	private takeVersions(news: GossipMessage): boolean {
-		let isNew = news.configurationVersion > this.configurationVersion;
-		isNew = this.opts.crashes.merge(news.crashes) || isNew;
-		isNew = this.opts.limits.merge(news.limits, news.issuer) || isNew;
-		for (const reader of news.storeReaders) {
+	private mergeShared(message: GossipMessage): boolean {
+		let isNew = message.configurationVersion > this.configurationVersion;
+		isNew = this.opts.crashes.merge(message.crashes) || isNew;
+		isNew = this.opts.limits.merge(message.limits, message.issuer) || isNew;
+		for (const reader of message.storeReaders) {
 			if (reader.address !== this.opts.address) {
-				const isMember = news.kind === gossipKinds.report;
-				isNew = this.readers.merge(reader, isMember, this.sinceBoot) || isNew;
+				const isMember = message.kind === gossipKinds.report;
+				isNew = this.storeReaders.merge(reader, isMember, this.sinceBoot) || isNew;
 				this.opts.onStoreStatus(reader.address, reader);
 			}
 		}
-		if (news.configurationVersion > this.configurationVersion) {
-			this.opts.onNewerConfiguration(news.address, news.configurationVersion);
+		if (message.configurationVersion > this.configurationVersion) {
+			this.opts.onNewerConfiguration(message.address, message.configurationVersion);
 		}
 		return isNew;
 	}
 
 	/**
-	 * Takes in what the news tell beside work: costs, speeds and answers of failing engines.
-	 * @returns whether the answers differ from what was told before
+	 * Merges costs, speeds and answers of failing engines.
+	 * @returns whether the answers changed
 	 */
-	private takeSums({ from, kind, costs, speeds, answers }: GossipMessage): boolean {
+	private mergeEstimates({ from, kind, costs, speeds, answers }: GossipMessage): boolean {
 		if (costs) {
 			this.opts.costs.take(from, costs);
 		}
@@ -323,63 +335,60 @@
 		return answers !== undefined && this.opts.answers.take(from, answers, isTotal);
 	}
 
-	private counts(news: GossipMessage): boolean {
-		const isForMe = this.aggregator === undefined || news.address === this.aggregator;
-		return isForMe && this.countsKind(news.kind);
+	private isRelevant(message: GossipMessage): boolean {
+		const isFromGroup = this.aggregator === undefined || message.address === this.aggregator;
+		return isFromGroup && this.isRelevantKind(message.kind);
 	}
 
-	private countsKind(kind: GossipKind): boolean {
+	private isRelevantKind(kind: GossipKind): boolean {
 		return (kind === gossipKinds.fleet) === (this.aggregator !== undefined);
 	}
 
-	private sourceOf(news: GossipMessage): GossipSource {
-		const known = this.sources.get(news.from);
-		if (known && !known.isReplacedBy(news)) {
-			known.update(news, this.now);
+	private updateSource(message: GossipMessage): GossipSource {
+		const known = this.sources.get(message.from);
+		if (known && !known.isReplacedBy(message)) {
+			known.update(message, this.now);
 			return known;
 		}
-		if (news.kind === gossipKinds.fleet) {
-			// The sums of another aggregator would count the same work twice.
+		if (message.kind === gossipKinds.fleet) {
+			// Sums of two aggregators would count the same work twice.
 			this.dropAll();
 		} else if (known) {
 			this.drop(known);
 		}
-		const source = this.sources.add(news);
-		this.opts.log.info('peer.seen', { peer: news.from, peers: this.size });
+		const source = this.sources.add(message);
+		this.opts.log.info('peer.seen', { peer: message.from, peers: this.size });
 		return source;
 	}
 
-	/** The last report of this VM that the news contain. */
-	private heardIn(news: GossipMessage): ReportAck | undefined {
+	/** Returns the acknowledgement of this VM's last report in a message. */
+	private findAck(message: GossipMessage): ReportAck | undefined {
 		const self = refOf(this.opts.self);
-		return news.reportAcks.find(({ vm }) => vm === self);
+		return message.reportAcks.find(({ vm }) => vm === self);
 	}
 
 	private compose(content: Omit<GossipContent, 'crashes' | 'limits' | 'issuer'>): GossipMessage[] {
-		const { configurationVersion, intervalMs: spacingMs } = this;
+		const { configurationVersion, intervalMs } = this;
 		const { crashes, limits } = this.opts;
 		const shared = {
 			crashes: crashes.getReportsToSend(),
 			limits: limits.getUpdatesToSend(content.kind),
 			issuer: limits.getIssuerToSend(),
 		};
-		return this.composer.compose(
-			{ ...content, ...shared },
-			{ configurationVersion, intervalMs: spacingMs },
-		);
+		return this.composer.compose({ ...content, ...shared }, { configurationVersion, intervalMs });
 	}
 
-	private ownReader(): StoreReader[] {
+	private ownStoreReader(): StoreReader[] {
 		const store = this.opts.storeStatus();
 		return store ? [{ ...store, address: this.opts.address }] : [];
 	}
 
-	/** Work of VMs that fell silent no longer counts. */
-	private dropSilent(): void {
-		if (this.now - this.silenceLookedAt < silenceLookMs) {
+	/** Removes the work of silent sources. */
+	private dropSilentWork(): void {
+		if (this.now - this.silenceCheckedAt < silenceCheckIntervalMs) {
 			return;
 		}
-		this.silenceLookedAt = this.now;
+		this.silenceCheckedAt = this.now;
 		for (const source of this.sources.silent()) {
 			this.work.removeSource(source);
 		}
@@ -391,12 +400,12 @@
 		}
 	}
 
-	private left(news: GossipMessage): void {
-		const source = this.sources.get(news.from);
+	private removeDeparted(message: GossipMessage): void {
+		const source = this.sources.get(message.from);
 		if (source) {
 			this.drop(source);
 		}
-		this.sources.recordDeparture(news);
+		this.sources.recordDeparture(message);
 	}
 
 	private drop(source: GossipSource): void {
--- a/src/core/fleet/fleet-work.ts
+++ b/src/core/fleet/fleet-work.ts
@@ -1,5 +1,5 @@
 /**
- * The fleet's work at each engine as this VM knows it, kept up as news come: its own, that of its group, and that of all.
+ * Sums of the work at each engine: of this VM, of its group and of the whole fleet, updated with each message.
  * @module
  */
 import type { GossipSource } from './gossip-source.js';
@@ -8,22 +8,19 @@
 import type { WorkChange } from './work-sums.js';
 import { WorkSums } from './work-sums.js';
 
-/** Reports whose acknowledgement may still come. */
-const maxSentReports = 100;
+/** Reports that are kept until they are acknowledged. */
+const maxPendingReports = 100;
 
 export class FleetWork {
 	private readonly own = new WorkSums();
-	/** Own work and that of the VMs that report here. */
+	/** Work of this VM and its members. */
 	private readonly group = new WorkSums();
-	/**
-	 * Work of the whole fleet, kept up as news come: summed up for each question, a placement among 82 engines
-	 * and 99 VMs took 0.88 ms, and takes 0.07 so (single decisions in a loop, warm).
-	 */
+	/** Work of the whole fleet, updated incrementally since placement reads it for every candidate engine. */
 	private readonly totals = new WorkSums();
-	/** Own work as it was told in each report that is not acknowledged yet, by its number. */
-	private readonly sentReports = new Map<number, Map<EngineRef, EngineWork>>();
+	/** Own work as of each unacknowledged report, by sequence number. */
+	private readonly pendingReports = new Map<number, Map<EngineRef, EngineWork>>();
 
-	/** Work of the whole fleet at an engine. */
+	/** Returns the work of the whole fleet at an engine. */
 	workAt(engine: EngineRef): EngineWork {
 		return this.totals.of(engine);
 	}
@@ -47,103 +44,102 @@
 		return this.totals.rows();
 	}
 
-	/** Own work was told in a report of this number. */
+	/** Remembers the work sent in a report until the report is acknowledged. */
 	recordReport(seq: number, work: readonly EngineWork[]): void {
-		this.sentReports.set(seq, new Map(work.map((item) => [item.engine, item])));
-		this.forgetReports(seq - maxSentReports);
+		this.pendingReports.set(seq, new Map(work.map((item) => [item.engine, item])));
+		this.dropReports(seq - maxPendingReports);
 	}
 
-	/** Reports go to another VM from now on. */
+	/** Discards pending reports when the aggregator changes. */
 	clearReports(): void {
-		this.sentReports.clear();
+		this.pendingReports.clear();
 	}
 
 	/**
-	 * Takes in what a VM tells of the engines that its news speak for, in place of what it told before.
-	 * @param heard the last report of this VM that the news contain; undefined when they contain none
-	 * @returns whether it differs from what the VM told before
+	 * Replaces a source's work at the engines that a message covers.
+	 * @param ack of this VM's last report that the sums include; undefined when they include none
+	 * @returns whether the source's work changed
 	 */
-	merge(source: GossipSource, news: GossipMessage, heard: ReportAck | undefined): boolean {
-		const reported = this.reportedIn(heard);
+	merge(source: GossipSource, message: GossipMessage, ack: ReportAck | undefined): boolean {
+		const reported = this.acknowledgedReport(ack);
 		let isChanged = false;
-		for (const told of news.work) {
-			const item = reported ? difference(told, reported.get(told.engine)) : told;
+		for (const received of message.work) {
+			const item = reported ? subtract(received, reported.get(received.engine)) : received;
 			isChanged = this.replace(source, item) || isChanged;
 		}
-		return this.dropOthers(source, news) || isChanged;
+		return this.removeUnlisted(source, message) || isChanged;
 	}
 
-	/** @returns whether the work at the engine differs from what was told before */
+	/** @returns whether the work at the engine changed */
 	private replace(source: GossipSource, item: EngineWork): boolean {
-		const before = source.work.get(item.engine);
-		if (before?.running === item.running && before.promptTokens === item.promptTokens) {
+		const previous = source.work.get(item.engine);
+		if (previous?.running === item.running && previous.promptTokens === item.promptTokens) {
 			return false;
 		}
-		if (before) {
-			this.addOf(source, before, -1);
+		if (previous) {
+			this.addFrom(source, previous, -1);
 		}
-		this.addOf(source, item);
+		this.addFrom(source, item);
 		source.work.set(item.engine, item);
 		return true;
 	}
 
 	/**
-	 * Engines that the news speak for and do not name have no work of the source.
-	 * @returns whether there were any
+	 * Removes a source's work at engines that a message covers but does not list.
+	 * @returns whether there was any
 	 */
-	private dropOthers(source: GossipSource, news: GossipMessage): boolean {
-		const known = source.workInRange(news.engines);
-		if (known.length === news.work.length) {
+	private removeUnlisted(source: GossipSource, message: GossipMessage): boolean {
+		const known = source.workInRange(message.engines);
+		if (known.length === message.work.length) {
 			return false;
 		}
-		const named = new Set(news.work.map(({ engine }) => engine));
-		for (const item of known.filter(({ engine }) => !named.has(engine))) {
-			this.addOf(source, item, -1);
+		const listed = new Set(message.work.map(({ engine }) => engine));
+		for (const item of known.filter(({ engine }) => !listed.has(engine))) {
+			this.addFrom(source, item, -1);
 			source.work.delete(item.engine);
 		}
 		return true;
 	}
 
-	/** What a VM told no longer counts. */
+	/** Removes all work of a source. */
 	removeSource(source: GossipSource): void {
 		for (const item of source.work.values()) {
-			this.addOf(source, item, -1);
+			this.addFrom(source, item, -1);
 		}
 		source.work.clear();
 	}
 
-	/** The engine is gone. */
 	removeEngine(engine: EngineRef): void {
 		for (const sums of [this.own, this.group, this.totals]) {
 			sums.removeEngine(engine);
 		}
-		for (const report of this.sentReports.values()) {
+		for (const report of this.pendingReports.values()) {
 			report.delete(engine);
 		}
 	}
 
 	/**
-	 * Sums for members contain what this VM had reported; its work of now is counted here. The report itself is kept: it
-	 * is taken off each part of the news, and repeated ones.
+	 * Returns the acknowledged report, to be subtracted from an aggregator's sums, since this VM adds its current work itself.
+	 * The report stays pending because later datagrams of the round acknowledge it again.
 	 */
-	private reportedIn(heard: ReportAck | undefined): Map<EngineRef, EngineWork> | undefined {
-		const reported = heard && this.sentReports.get(heard.seq);
+	private acknowledgedReport(ack: ReportAck | undefined): Map<EngineRef, EngineWork> | undefined {
+		const reported = ack && this.pendingReports.get(ack.seq);
 		if (reported) {
-			this.forgetReports(heard.seq - 1);
+			this.dropReports(ack.seq - 1);
 		}
 		return reported;
 	}
 
-	private forgetReports(upTo: number): void {
-		for (const seq of this.sentReports.keys()) {
-			if (seq > upTo) {
+	private dropReports(lastSeq: number): void {
+		for (const seq of this.pendingReports.keys()) {
+			if (seq > lastSeq) {
 				break;
 			}
-			this.sentReports.delete(seq);
+			this.pendingReports.delete(seq);
 		}
 	}
 
-	private addOf(source: GossipSource, item: EngineWork, sign = 1): void {
+	private addFrom(source: GossipSource, item: EngineWork, sign = 1): void {
 		this.totals.add(item.engine, item, sign);
 		if (source.kind === gossipKinds.report) {
 			this.group.add(item.engine, item, sign);
@@ -151,7 +147,7 @@
 	}
 }
 
-function difference(item: EngineWork, other: EngineWork | undefined): EngineWork {
+function subtract(item: EngineWork, other: EngineWork | undefined): EngineWork {
 	return {
 		engine: item.engine,
 		running: item.running - (other?.running ?? 0),
--- a/src/core/fleet/gossip-composer.ts
+++ b/src/core/fleet/gossip-composer.ts
@@ -1,5 +1,5 @@
 /**
- * Puts this VM's news together, in as many datagrams as they take.
+ * Builds this VM's gossip messages, split into as many datagrams as needed.
  * @module
  */
 import type { Clock } from '../definitions.js';
@@ -19,33 +19,31 @@
 	StoreReader,
 } from './types.js';
 
-/** Time between two news of a kind that tell costs, in milliseconds: they settle within seconds. */
-const costsMs = 1000;
-/**
- * The same for speeds of single engines: one that turns slow is known to all within a second or so, over three hops.
- */
-const speedsMs = 250;
-/** Speeds that go along at once; with 24 engines a message, 90 engines are told of within a second. */
-const mostSpeeds = 24;
+/** Minimum interval between messages of a kind that carry cost estimates, which change slowly. */
+const costsIntervalMs = 1000;
+/** The same for speeds of engines; short, since a slow engine has to be known fleet-wide after three hops. */
+const speedsIntervalMs = 250;
+/** Engine speeds in one message. */
+const maxSpeeds = 24;
 
-/** What differs between the kinds of news. */
+/** Content that differs between kinds of gossip. */
 export interface GossipContent {
 	kind: GossipKind;
 	work: EngineWork[];
-	/** Those that fit are taken out. */
+	/** Queue of updates; those that fit are removed. */
 	cacheUpdates: CacheUpdate[];
 	reportAcks: ReportAck[];
 	demand: Demand;
 	vmCount: number;
 	storeReaders: StoreReader[];
-	/** VMs whose costs, and answers of failing engines, are added to those that this VM has seen. */
+	/** VMs whose costs, speeds and engine answers are added to those of this VM. */
 	includedVms: readonly string[];
 	crashes: CrashReport[];
 	limits: LimitUpdate[];
 	issuer?: IssuerAnnouncement;
 }
 
-/** What is the same in all news of a moment. */
+/** Content that all kinds of gossip share. */
 export interface GossipHeader {
 	configurationVersion: number;
 	intervalMs: number;
@@ -53,69 +51,61 @@
 
 export interface GossipComposerOptions {
 	self: string;
-	/** Where peers may fetch the configuration, as IP:PORT. */
+	/** Where peers fetch the configuration, as IP:PORT. */
 	address: string;
-	/** Tells this process from an earlier one of the same VM. */
+	/** Distinguishes this process from earlier ones of the same VM. */
 	incarnation: number;
 	clock: Clock;
 	costs: CostModel;
-	/** Answers of engines that fail. */
+	/** Answers of failing engines. */
 	answers: AnswerNews;
 }
 
 export class GossipComposer {
-	private readonly costsToldAt = new Map<GossipKind, number>();
-	private readonly speedsToldAt = new Map<GossipKind, number>();
+	private readonly costsSentAt = new Map<GossipKind, number>();
+	private readonly speedsSentAt = new Map<GossipKind, number>();
 	private lastSeq = 0;
 
 	constructor(private readonly opts: GossipComposerOptions) {}
 
-	/** Number of the last news. */
+	/** Sequence number of the last message. */
 	get seq(): number {
 		return this.lastSeq;
 	}
 
-	compose(content: GossipContent, head: GossipHeader): GossipMessage[] {
-		const {
-			work,
-			cacheUpdates: reads,
-			reportAcks,
-			includedVms: sumsOf,
-			crashes,
-			limits,
-			...rest
-		} = content;
+	compose(content: GossipContent, header: GossipHeader): GossipMessage[] {
+		const { work, cacheUpdates, reportAcks, includedVms, crashes, limits, ...rest } = content;
 		const { self, address, incarnation } = this.opts;
 		const { kind } = rest;
-		const answers = this.opts.answers.export(sumsOf);
-		const costs = this.isDue(this.costsToldAt, kind, costsMs)
-			? this.opts.costs.export(sumsOf)
+		const answers = this.opts.answers.export(includedVms);
+		const costs = this.isDue(this.costsSentAt, kind, costsIntervalMs)
+			? this.opts.costs.export(includedVms)
 			: undefined;
-		const speeds = this.isDue(this.speedsToldAt, kind, speedsMs)
-			? this.opts.costs.speeds.export(sumsOf, this.now, mostSpeeds)
+		const speeds = this.isDue(this.speedsSentAt, kind, speedsIntervalMs)
+			? this.opts.costs.speeds.export(includedVms, this.now, maxSpeeds)
 			: undefined;
-		const rows = {
+		const rowCounts = {
 			crashes: crashes.length,
 			limits: limits.length,
 			answers: answers.length,
-			speeds: speedRows(speeds),
+			speeds: countSpeedRows(speeds),
 		};
 		this.lastSeq++;
-		return splitIntoDatagrams(work, reads, reportAcks, rows).map((part, at) => ({
+		return splitIntoDatagrams(work, cacheUpdates, reportAcks, rowCounts).map((slice, index) => ({
 			...rest,
-			...part,
-			...head,
+			...slice,
+			...header,
 			from: self,
 			incarnation,
 			seq: this.lastSeq,
 			address,
 			isLeaving: false,
 			reportAcks,
-			costs: at === 0 ? costs : undefined,
-			answers: at === 0 ? answers : undefined,
-			speeds: at === 0 ? speeds : undefined,
-			crashes: at === 0 ? crashes : [],
-			limits: at === 0 ? limits : [],
+			costs: index === 0 ? costs : undefined,
+			answers: index === 0 ? answers : undefined,
+			speeds: index === 0 ? speeds : undefined,
+			crashes: index === 0 ? crashes : [],
+			limits: index === 0 ? limits : [],
 		}));
 	}
 
@@ -123,16 +113,16 @@
 		return this.opts.clock.monotonic();
 	}
 
-	/** Whether what is told each `everyMs` is to go along with news of a kind. */
-	private isDue(toldAt: Map<GossipKind, number>, kind: GossipKind, everyMs: number): boolean {
-		const isDue = this.now - (toldAt.get(kind) ?? -everyMs) >= everyMs;
+	/** Returns whether the interval has passed for a kind of gossip, and restarts it if so. */
+	private isDue(sentAt: Map<GossipKind, number>, kind: GossipKind, intervalMs: number): boolean {
+		const isDue = this.now - (sentAt.get(kind) ?? -intervalMs) >= intervalMs;
 		if (isDue) {
-			toldAt.set(kind, this.now);
+			sentAt.set(kind, this.now);
 		}
 		return isDue;
 	}
 }
 
-function speedRows(speeds: readonly SpeedSums[] = []): number {
+function countSpeedRows(speeds: readonly SpeedSums[] = []): number {
 	return speeds.reduce((rows, { engines }) => rows + engines.length, 0);
 }
--- a/src/core/fleet/gossip-exchange.ts
+++ b/src/core/fleet/gossip-exchange.ts
@@ -1,5 +1,5 @@
 /**
- * When this VM tells news, to whom, and whether it gathers those of others.
+ * Decides when this VM sends gossip, to whom, and whether it acts as an aggregator.
  * @module
  */
 import type { Clock, Log } from '../definitions.js';
@@ -12,36 +12,29 @@
 import type { GossipMessage } from './types.js';
 import { gossipKinds } from './types.js';
 
-/** Least time between two news of a VM to the same ones, in milliseconds, in a small fleet where each tells all others. */
-const leastSpacingMs = 10;
+/** Minimum interval in a small fleet, where each VM sends to all others. */
+const minPeerIntervalMs = 10;
+/** Minimum interval between aggregators, and from an aggregator to its members; longer, since members are many more. */
+const minAggregatorIntervalMs = 20;
+const minMemberIntervalMs = 40;
+/** Minimum interval between reports to an aggregator. */
+const reportIntervalMs = 20;
+/** Maximum datagrams per second of each kind; intervals grow with the number of receivers to stay below it. */
+const maxDatagramsPerSecond = 600;
+/** Maximum interval, which shows that this VM is alive. */
+const maxIntervalMs = 250;
 /**
- * The same between aggregators, and from an aggregator to its members, of which there are many more. At 14 ms the 18 VMs of one
- * fleet spent half as much processor time again as at 30; in large fleets a VM places two requests a second and hears the sums
- * ten times as often. At 60 ms in place of 30 replayed bursts have 0 to 2 of 100 prompts fewer in time.
+ * A report without changes is sent in the `update` that follows this long after the last one, so the VM wakes up once for
+ * both. The maximum applies when no update runs. Two such reports may be lost before the VM changes its aggregator.
  */
-const leastBetweenAggregatorsMs = 20;
-const leastToMembersMs = 40;
-/** Least time between two reports, in milliseconds: an aggregator passes their sums on a few times slower. */
-const reportSpacingMs = 20;
-/**
- * Datagrams that a VM sends in a second at the most, of each kind. At 600 the VMs of a fleet of 72, each of which sent that many,
- * spent 0.09 cores a VM; here only aggregators come near, and those are the largest VMs.
- */
-const datagramsPerSecond = 600;
-/** News are told at least so often, in milliseconds: they show that this VM lives. */
-const quietMs = 250;
-/**
- * A report that tells nothing new goes with the look (`update`) that comes so long after the last, in milliseconds: the VM wakes up
- * once for both. Two may be lost before the VM goes to another aggregator; the latest time counts where no look comes.
- */
-const quietReportMs = 240;
-const latestReportMs = 250;
-/** An aggregator's members hear it at least so often, in milliseconds: four times before it seems silent. */
-const aggregatorQuietMs = 125;
-/** A VM goes to the next aggregator when its own was silent, or did not take in its reports, for so long, in milliseconds. */
-const silentMs = 500;
-/** Another aggregator is passed over when it was silent for so long, in milliseconds. */
-const otherSilentMs = 1000;
+const idleReportIntervalMs = 240;
+const maxReportIntervalMs = 250;
+/** Maximum interval from an aggregator to its members; several messages may be lost before it counts as silent. */
+const maxMemberIntervalMs = 125;
+/** A VM changes its aggregator after this time without an acknowledgement of its reports. */
+const aggregatorTimeoutMs = 500;
+/** Another aggregator is excluded after this time without a message. */
+const otherAggregatorTimeoutMs = 1000;
 
 export interface GossipExchangeOptions {
 	clock: Clock;
@@ -49,145 +42,156 @@
 	fleet: FleetView;
 	selection: AggregatorSelection;
 	self: HostPort;
-	/** Other VMs that are registered. */
+	/** Other registered VMs. */
 	otherVms: () => readonly RegisteredVm[];
-	/** VMs to ask before any is known. */
+	/** Aggregator candidates before any registered VM is known. */
 	seeds: () => readonly HostPort[];
-	send: (to: readonly HostPort[], news: GossipMessage) => void;
+	send: (to: readonly HostPort[], message: GossipMessage) => void;
 }
 
-/** A VM that this one tells news, and since when; undefined `heardAt` before it answered. */
-interface Told {
+/** Another aggregator that receives this VM's gossip. */
+interface Receiver {
 	since: number;
-	heardAt?: number;
+	/** Time of its last message; undefined before the first. */
+	receivedAt?: number;
 }
 
 export class GossipExchange {
 	/** The aggregator that this VM reports to; undefined while it is one itself. */
 	private aggregator?: string;
-	private readonly told = new Map<string, Told>();
-	/** News for the aggregator, or for the other aggregators. */
-	private readonly up = new GossipSchedule();
-	/** News for the VMs that report here. */
-	private readonly down = new GossipSchedule();
+	/** Other aggregators by address; empty while this VM reports to one. */
+	private readonly receivers = new Map<string, Receiver>();
+	/** Schedule of gossip to the aggregator, or to the other aggregators. */
+	private readonly upstream = new GossipSchedule();
+	/** Schedule of gossip to the members. */
+	private readonly downstream = new GossipSchedule();
 	private acknowledgedAt = Number.NEGATIVE_INFINITY;
 
 	constructor(private readonly opts: GossipExchangeOptions) {}
 
-	/** Monotonic milliseconds at which `run` should be called next. */
+	/** Time at which `sendDue` should be called next, in monotonic milliseconds. */
 	get dueAt(): number {
-		const upAt = this.up.dueAt(this.upPace);
-		return this.hasMembers ? Math.min(upAt, this.down.dueAt(this.downPace)) : upAt;
+		const upstreamAt = this.upstream.dueAt(this.upstreamIntervals);
+		return this.hasMembers
+			? Math.min(upstreamAt, this.downstream.dueAt(this.downstreamIntervals))
+			: upstreamAt;
 	}
 
-	/** How long no news were sent, in milliseconds. */
+	/** Milliseconds since the last message upstream. */
 	get sinceLastSendMs(): number {
-		return this.now - this.up.lastSentAt;
+		return this.now - this.upstream.lastSentAt;
 	}
 
-	/** Something changed that others should know. */
+	/** Schedules gossip soon, since something changed that peers should know. */
 	markChanged(): void {
-		this.up.markChanged();
-		this.down.markChanged();
+		this.upstream.markChanged();
+		this.downstream.markChanged();
 	}
 
-	/** Sends news that are due. */
+	/** Sends the messages that are due. */
 	sendDue(): void {
 		const { now } = this;
-		if (now >= this.up.dueAt(this.upPace)) {
-			this.sendUp();
+		if (now >= this.upstream.dueAt(this.upstreamIntervals)) {
+			this.sendUpstream();
 		}
-		if (this.hasMembers && now >= this.down.dueAt(this.downPace)) {
-			this.sendDown();
+		if (this.hasMembers && now >= this.downstream.dueAt(this.downstreamIntervals)) {
+			this.sendDownstream();
 		}
 	}
 
-	/** Tells at once what cannot wait. */
+	/** Sends at once, regardless of the schedule. */
 	sendNow(): void {
-		this.sendUp();
+		this.sendUpstream();
 		if (this.hasMembers) {
-			this.sendDown();
+			this.sendDownstream();
 		}
 	}
 
-	receive(news: GossipMessage): void {
+	receive(message: GossipMessage): void {
 		const { fleet } = this.opts;
-		this.noteHeard(news);
-		let isChanged = fleet.receive(news);
-		if (news.kind === gossipKinds.report && !news.isLeaving && this.aggregator !== undefined) {
-			// Another VM took this one for its aggregator, so it is one.
+		this.recordSender(message);
+		let isChanged = fleet.receive(message);
+		if (
+			message.kind === gossipKinds.report &&
+			!message.isLeaving &&
+			this.aggregator !== undefined
+		) {
+			// The sender chose this VM as its aggregator, so this VM becomes one.
 			this.setAggregator(undefined);
-			this.chooseOthers();
-			isChanged = fleet.receive(news);
+			this.updateReceivers();
+			isChanged = fleet.receive(message);
 		}
 		if (isChanged) {
-			this.passOn(news);
+			this.scheduleForwarding(message);
 		}
 	}
 
 	/**
-	 * What a member told goes to the other aggregators and to the members; what another aggregator told only to the members.
-	 * Told back and forth, four aggregators of an idle fleet of 16 VMs sent each other 50 datagrams a second and took a
-	 * tenth of a core each.
+	 * Schedules a change to be forwarded: changes of members to the other aggregators and to the members, changes of other
+	 * aggregators only to the members, so that aggregators don't echo each other.
 	 */
-	private passOn(news: GossipMessage): void {
-		if (news.kind === gossipKinds.report) {
-			this.up.markChanged();
+	private scheduleForwarding(message: GossipMessage): void {
+		if (message.kind === gossipKinds.report) {
+			this.upstream.markChanged();
 		}
-		this.down.markChanged();
+		this.downstream.markChanged();
 	}
 
-	/** This VM stops: it serves its members until they report to another, and then reports to another itself. */
+	/**
+	 * Gives up the aggregator role before this VM stops. It serves its members until they have moved to another aggregator,
+	 * and then reports to one itself.
+	 */
 	retire(): void {
 		this.opts.selection.isRetired = true;
 		this.update();
 		this.sendNow();
 	}
 
-	/** Looks anew who gathers this VM's news; called several times a second. */
+	/** Re-evaluates this VM's role and aggregator; called several times a second. */
 	update(): void {
-		const { selection, fleet, otherVms: listed } = this.opts;
-		selection.update(listed());
-		this.passOverSilent();
-		const serves = fleet.members.length > 0;
-		this.setAggregator(serves ? undefined : this.chosen());
+		const { selection, fleet, otherVms } = this.opts;
+		selection.update(otherVms());
+		this.excludeSilent();
+		const hasReports = fleet.members.length > 0;
+		this.setAggregator(hasReports ? undefined : this.selectAddress());
 		if (this.aggregator === undefined) {
-			this.chooseOthers();
-		} else if (this.sinceLastSendMs >= quietReportMs) {
-			this.sendUp();
+			this.updateReceivers();
+		} else if (this.sinceLastSendMs >= idleReportIntervalMs) {
+			this.sendUpstream();
 		}
 	}
 
-	private sendUp(): void {
+	private sendUpstream(): void {
 		const { fleet } = this.opts;
-		this.up.markSent(this.now);
-		this.tellPace();
+		this.upstream.markSent(this.now);
+		this.publishTiming();
 		if (this.aggregator !== undefined) {
 			this.send([parseAddress(this.aggregator)], fleet.composeReport());
 		} else {
-			this.send([...this.told.keys()].map(parseAddress), fleet.composeGroup());
+			this.send([...this.receivers.keys()].map(parseAddress), fleet.composeGroup());
 		}
 	}
 
-	private sendDown(): void {
+	private sendDownstream(): void {
 		const { fleet, selection } = this.opts;
-		this.down.markSent(this.now);
-		this.tellPace();
+		this.downstream.markSent(this.now);
+		this.publishTiming();
 		const members = fleet.members.map(({ address }) => parseAddress(address));
 		const isLeaving = selection.isRetired;
 		this.send(
 			members,
-			fleet.composeFleet().map((news) => ({ ...news, isLeaving })),
+			fleet.composeFleet().map((message) => ({ ...message, isLeaving })),
 		);
 	}
 
-	private tellPace(): void {
+	/** Sets the timing that the fleet view reports to peers and to placement. */
+	private publishTiming(): void {
 		const { fleet } = this.opts;
 		fleet.intervalMs = Math.max(
-			this.upPace.minIntervalMs,
-			this.hasMembers ? this.downPace.minIntervalMs : 0,
+			this.upstreamIntervals.minIntervalMs,
+			this.hasMembers ? this.downstreamIntervals.minIntervalMs : 0,
 		);
-		fleet.maxGossipAgeMs = this.newsAgeMs;
+		fleet.maxGossipAgeMs = this.maxGossipAgeMs;
 	}
 
 	private get hasMembers(): boolean {
@@ -198,51 +202,51 @@
 		return this.opts.clock.monotonic();
 	}
 
-	/** Tells the other aggregators: those chosen, and those that tell their sums here. */
-	private chooseOthers(): void {
+	/** Updates the receivers: the selected aggregators, and those that send their sums here. */
+	private updateReceivers(): void {
 		const { selection, fleet } = this.opts;
-		const chosen = selection.otherAggregators(this.now).map(addressOf);
-		const heard = fleet.otherAggregators.map(({ address }) => address);
-		const all = new Set([...chosen, ...heard]);
+		const selected = selection.otherAggregators(this.now).map(addressOf);
+		const senders = fleet.otherAggregators.map(({ address }) => address);
+		const all = new Set([...selected, ...senders]);
 		all.delete(addressOf(this.opts.self));
 		for (const address of all) {
-			if (!this.told.has(address)) {
-				this.told.set(address, { since: this.now });
-				this.up.markChanged();
+			if (!this.receivers.has(address)) {
+				this.receivers.set(address, { since: this.now });
+				this.upstream.markChanged();
 			}
 		}
-		for (const address of this.told.keys()) {
+		for (const address of this.receivers.keys()) {
 			if (!all.has(address)) {
-				this.told.delete(address);
+				this.receivers.delete(address);
 			}
 		}
 	}
 
-	private get upPace(): GossipIntervals {
+	private get upstreamIntervals(): GossipIntervals {
 		if (this.aggregator !== undefined) {
-			return { minIntervalMs: reportSpacingMs, maxIntervalMs: latestReportMs };
+			return { minIntervalMs: reportIntervalMs, maxIntervalMs: maxReportIntervalMs };
 		}
-		const least = this.opts.selection.isSmallFleet ? leastSpacingMs : leastBetweenAggregatorsMs;
-		return { minIntervalMs: spacingOf(this.told.size, least), maxIntervalMs: quietMs };
+		const minMs = this.opts.selection.isSmallFleet ? minPeerIntervalMs : minAggregatorIntervalMs;
+		return { minIntervalMs: intervalFor(this.receivers.size, minMs), maxIntervalMs };
 	}
 
-	/** Grows with those that are told. */
-	private get downPace(): GossipIntervals {
-		const spacingMs = spacingOf(this.opts.fleet.members.length, leastToMembersMs);
-		return { minIntervalMs: spacingMs, maxIntervalMs: aggregatorQuietMs };
+	/** The minimum grows with the number of members. */
+	private get downstreamIntervals(): GossipIntervals {
+		const minIntervalMs = intervalFor(this.opts.fleet.members.length, minMemberIntervalMs);
+		return { minIntervalMs, maxIntervalMs: maxMemberIntervalMs };
 	}
 
-	/** From a VM to its aggregator, to another aggregator, to its members; in a small fleet from VM to VM. */
-	private get newsAgeMs(): number {
+	/** Sum of the intervals on the way from a VM over its and another aggregator to a member; one hop in a small fleet. */
+	private get maxGossipAgeMs(): number {
 		const { fleet, selection } = this.opts;
 		if (this.aggregator !== undefined) {
-			return reportSpacingMs + leastBetweenAggregatorsMs + (fleet.aggregatorIntervalMs ?? 0);
+			return reportIntervalMs + minAggregatorIntervalMs + (fleet.aggregatorIntervalMs ?? 0);
 		}
-		return this.upPace.minIntervalMs + (selection.isSmallFleet ? 0 : reportSpacingMs);
+		return this.upstreamIntervals.minIntervalMs + (selection.isSmallFleet ? 0 : reportIntervalMs);
 	}
 
-	/** Who should gather this VM's news; undefined for itself. */
-	private chosen(): string | undefined {
+	/** Address of the aggregator to report to; undefined when this VM is its own. */
+	private selectAddress(): string | undefined {
 		const { selection, self } = this.opts;
 		if (!selection.hasOthers) {
 			const seeds = this.opts.seeds().map(addressOf);
@@ -257,68 +261,71 @@
 			return;
 		}
 		const { fleet, log } = this.opts;
-		this.takeLeave();
+		this.announceDeparture();
 		this.aggregator = address;
 		this.acknowledgedAt = this.now;
-		this.told.clear();
+		this.receivers.clear();
 		fleet.reportTo(address);
 		log.info('news.aggregator', { reports_to: address ?? 'none', peers: fleet.size });
 	}
 
-	/** Whoever counts this VM's work so far drops it at once; others will speak for it. */
-	private takeLeave(): void {
+	/** Lets receivers drop this VM's work at once, since it will reach them through another aggregator. */
+	private announceDeparture(): void {
 		const { fleet } = this.opts;
 		const isMember = this.aggregator !== undefined;
-		const to = isMember ? [this.aggregator as string] : [...this.told.keys()];
-		const [news] = isMember ? fleet.composeReport() : fleet.composeGroup();
-		if (news && to.length > 0) {
-			this.opts.send(to.map(parseAddress), { ...news, work: [], isLeaving: true });
+		const to = isMember ? [this.aggregator as string] : [...this.receivers.keys()];
+		const [message] = isMember ? fleet.composeReport() : fleet.composeGroup();
+		if (message && to.length > 0) {
+			this.opts.send(to.map(parseAddress), { ...message, work: [], isLeaving: true });
 		}
 	}
 
-	private noteHeard(news: GossipMessage): void {
-		const told = this.told.get(news.address);
-		if (told) {
-			told.heardAt = this.now;
-			this.opts.selection.readmit(news.address);
+	private recordSender(message: GossipMessage): void {
+		const receiver = this.receivers.get(message.address);
+		if (receiver) {
+			receiver.receivedAt = this.now;
+			this.opts.selection.readmit(message.address);
 		}
-		if (news.address !== this.aggregator || news.kind !== gossipKinds.fleet) {
+		if (message.address !== this.aggregator || message.kind !== gossipKinds.fleet) {
 			return;
 		}
-		if (news.isLeaving) {
-			this.opts.selection.exclude(news.address, this.now);
-			this.setAggregator(this.chosen());
+		if (message.isLeaving) {
+			this.opts.selection.exclude(message.address, this.now);
+			this.setAggregator(this.selectAddress());
 			this.markChanged();
-		} else if (this.opts.fleet.isAcknowledgedBy(news)) {
+		} else if (this.opts.fleet.isAcknowledgedBy(message)) {
 			this.acknowledgedAt = this.now;
-			this.opts.selection.readmit(news.address);
+			this.opts.selection.readmit(message.address);
 		}
 	}
 
-	private passOverSilent(): void {
+	private excludeSilent(): void {
 		const { now, aggregator } = this;
 		const { selection } = this.opts;
-		if (aggregator !== undefined && now - this.acknowledgedAt > silentMs) {
+		if (aggregator !== undefined && now - this.acknowledgedAt > aggregatorTimeoutMs) {
 			selection.exclude(aggregator, now);
 			this.acknowledgedAt = now;
 		}
-		for (const [address, { since, heardAt }] of this.told) {
-			if (now - (heardAt ?? since) > otherSilentMs && !selection.isExcluded(address, now)) {
+		for (const [address, { since, receivedAt }] of this.receivers) {
+			if (
+				now - (receivedAt ?? since) > otherAggregatorTimeoutMs &&
+				!selection.isExcluded(address, now)
+			) {
 				selection.exclude(address, now);
 			}
 		}
 	}
 
-	private send(to: readonly HostPort[], news: readonly GossipMessage[]): void {
+	private send(to: readonly HostPort[], messages: readonly GossipMessage[]): void {
 		if (to.length > 0) {
-			for (const one of news) {
-				this.opts.send(to, one);
+			for (const message of messages) {
+				this.opts.send(to, message);
 			}
 		}
 	}
 }
 
-/** Time between two news to so many VMs, in milliseconds. */
-function spacingOf(told: number, leastMs: number): number {
-	return Math.max(leastMs, (told * 1000) / datagramsPerSecond);
+/** Returns the interval between messages to this many receivers, in milliseconds. */
+function intervalFor(receivers: number, minMs: number): number {
+	return Math.max(minMs, (receivers * 1000) / maxDatagramsPerSecond);
 }
--- a/src/core/fleet/gossip-schedule.ts
+++ b/src/core/fleet/gossip-schedule.ts
@@ -1,41 +1,39 @@
 /**
- * When news of one kind are due: soon after a change, again a few times after it, and now and then without one.
+ * Schedules one kind of gossip: soon after a change, repeated at growing intervals, and periodically without a change.
  * @module
  */
 
 export interface GossipIntervals {
-	/** Least time between two news, in milliseconds. */
 	minIntervalMs: number;
-	/** Greatest time between two news, in milliseconds. */
 	maxIntervalMs: number;
 }
 
 export class GossipSchedule {
-	private sent = Number.NEGATIVE_INFINITY;
+	private sentAt = Number.NEGATIVE_INFINITY;
 	private isChanged = false;
-	/** News since the last change that told nothing new. */
+	/** Messages since the last change. */
 	private repeats = 0;
 
-	/** Monotonic milliseconds of the last news. */
+	/** Time of the last message, in monotonic milliseconds. */
 	get lastSentAt(): number {
-		return this.sent;
+		return this.sentAt;
 	}
 
-	/** Something changed that the next news should tell. */
+	/** Schedules a message after the minimum interval. */
 	markChanged(): void {
 		this.isChanged = true;
 	}
 
-	/** Monotonic milliseconds at which the next news should go. */
-	dueAt({ minIntervalMs: spacingMs, maxIntervalMs: quietMs }: GossipIntervals): number {
-		// The pause doubles with each repeat: a change whose datagram was lost is told again soon, a quiet fleet costs little.
-		const pauseMs = this.isChanged ? spacingMs : spacingMs * 2 ** (this.repeats + 1);
-		return this.sent + Math.max(spacingMs, Math.min(pauseMs, quietMs));
+	/** Time at which the next message is due, in monotonic milliseconds. */
+	dueAt({ minIntervalMs, maxIntervalMs }: GossipIntervals): number {
+		// The pause doubles with each repeat, so a lost message is repeated soon and an idle fleet sends little.
+		const pauseMs = this.isChanged ? minIntervalMs : minIntervalMs * 2 ** (this.repeats + 1);
+		return this.sentAt + Math.max(minIntervalMs, Math.min(pauseMs, maxIntervalMs));
 	}
 
-	/** News go now. */
+	/** Records that a message is sent now. */
 	markSent(now: number): void {
-		this.sent = now;
+		this.sentAt = now;
 		this.repeats = this.isChanged ? 0 : this.repeats + 1;
 		this.isChanged = false;
 	}
--- a/src/core/fleet/gossip-source.ts
+++ b/src/core/fleet/gossip-source.ts
@@ -1,5 +1,5 @@
 /**
- * What this VM holds of one VM that it hears directly.
+ * State received from one VM that sends gossip directly to this one.
  * @module
  */
 import { isInRange, refSpaceEnd } from './gossip-splitter.js';
@@ -15,17 +15,17 @@
 export class GossipSource {
 	readonly work = new Map<EngineRef, EngineWork>();
 
-	/** @param lastAt when the last news came, in monotonic milliseconds */
+	/** @param lastReceivedAt in monotonic milliseconds */
 	constructor(
 		private last: GossipMessage,
-		private lastAt: number,
+		private lastReceivedAt: number,
 	) {}
 
 	get name(): string {
 		return this.last.from;
 	}
 
-	/** Where it hears news and serves copies, as IP:PORT. */
+	/** Where the VM receives gossip and serves copies, as IP:PORT. */
 	get address(): string {
 		return this.last.address;
 	}
@@ -38,7 +38,7 @@
 		return this.last.seq;
 	}
 
-	/** VMs that it speaks for. */
+	/** Number of VMs that its sums include. */
 	get vmCount(): number {
 		return this.last.vmCount;
 	}
@@ -47,30 +47,30 @@
 		return this.last.demand;
 	}
 
-	/** Time between two of its news under load, in milliseconds. */
+	/** Interval between its messages under load, in milliseconds. */
 	get intervalMs(): number {
 		return this.last.intervalMs;
 	}
 
-	/** When its last news came, in monotonic milliseconds. */
+	/** Time of its last message, in monotonic milliseconds. */
 	get receivedAt(): number {
-		return this.lastAt;
+		return this.lastReceivedAt;
 	}
 
-	/** Whether the news are older than what is held; parts of one moment may come in any order, or again. */
-	isStale(news: GossipMessage): boolean {
-		return news.incarnation === this.last.incarnation && news.seq < this.last.seq;
+	/** Returns whether a message is older than the last one. Datagrams of one round may be reordered or duplicated. */
+	isStale(message: GossipMessage): boolean {
+		return message.incarnation === this.last.incarnation && message.seq < this.last.seq;
 	}
 
-	/** Whether they speak for something else: another life of the process, or another role. */
-	isReplacedBy(news: GossipMessage): boolean {
-		return news.incarnation !== this.last.incarnation || news.kind !== this.last.kind;
+	/** Returns whether a message comes from another incarnation of the VM, or from another role of it. */
+	isReplacedBy(message: GossipMessage): boolean {
+		return message.incarnation !== this.last.incarnation || message.kind !== this.last.kind;
 	}
 
-	/** Takes the head of the news; their work is taken in elsewhere. */
-	update(news: GossipMessage, now: number): void {
-		this.last = news;
-		this.lastAt = now;
+	/** Stores the header of a message; `FleetWork` merges the work. */
+	update(message: GossipMessage, now: number): void {
+		this.last = message;
+		this.lastReceivedAt = now;
 	}
 
 	/** Work at the engines of a range. */
--- a/src/core/fleet/gossip-sources.ts
+++ b/src/core/fleet/gossip-sources.ts
@@ -1,20 +1,19 @@
 /**
- * The VMs that this VM hears directly: who they are, whether they are still heard, and which news of theirs are older than what
- * is known.
+ * Registry of the VMs that send gossip directly to this one; detects silent sources and stale messages.
  * @module
  */
 import type { Clock } from '../definitions.js';
 import { GossipSource } from './gossip-source.js';
 import type { Demand, GossipKind, GossipMessage } from './types.js';
 
-/** A VM that missed so many of its times to tell is left out, and not sooner than this, in milliseconds. */
-const missedToSilent = 4;
-const leastSilentMs = 1000;
+/** A source is silent after this many missed intervals, but not before the minimum time. */
+const maxMissedIntervals = 4;
+const minSilenceMs = 1000;
 
 export class GossipSources {
 	private readonly byName = new Map<string, GossipSource>();
-	/** Last news of VMs that left for another aggregator: earlier ones that come behind would count their work twice. */
-	private readonly left = new Map<string, GossipMessage>();
+	/** Last messages of VMs that moved to another aggregator. Older ones that arrive later would count their work twice. */
+	private readonly departed = new Map<string, GossipMessage>();
 
 	constructor(private readonly clock: Clock) {}
 
@@ -22,7 +21,7 @@
 		return this.byName.get(name);
 	}
 
-	/** All of them, those that fell silent included. */
+	/** All sources, including silent ones. */
 	all(): GossipSource[] {
 		return [...this.byName.values()];
 	}
@@ -35,25 +34,25 @@
 		return this.all().filter((source) => source.kind === kind);
 	}
 
-	/** Those that told something lately. */
 	live(): GossipSource[] {
-		return this.all().filter((source) => this.isHeard(source));
+		return this.all().filter((source) => this.isLive(source));
 	}
 
 	silent(): GossipSource[] {
-		return this.all().filter((source) => !this.isHeard(source));
+		return this.all().filter((source) => !this.isLive(source));
 	}
 
-	/** Whether something newer of the same process is known. */
-	isStale(news: GossipMessage): boolean {
-		const left = this.left.get(news.from);
-		const isBeforeLeave = left?.incarnation === news.incarnation && news.seq <= left.seq;
-		return isBeforeLeave || (this.byName.get(news.from)?.isStale(news) ?? false);
+	/** Returns whether a newer message of the same incarnation has been received. */
+	isStale(message: GossipMessage): boolean {
+		const departed = this.departed.get(message.from);
+		const precedesDeparture =
+			departed?.incarnation === message.incarnation && message.seq <= departed.seq;
+		return precedesDeparture || (this.byName.get(message.from)?.isStale(message) ?? false);
 	}
 
-	add(news: GossipMessage): GossipSource {
-		const source = new GossipSource(news, this.clock.monotonic());
-		this.byName.set(news.from, source);
+	add(message: GossipMessage): GossipSource {
+		const source = new GossipSource(message, this.clock.monotonic());
+		this.byName.set(message.from, source);
 		return source;
 	}
 
@@ -61,14 +60,14 @@
 		this.byName.delete(source.name);
 	}
 
-	/** Its VM tells another aggregator from now on. */
-	recordDeparture(news: GossipMessage): void {
-		this.left.set(news.from, news);
+	/** Records the last message of a VM that moves to another aggregator. */
+	recordDeparture(message: GossipMessage): void {
+		this.departed.set(message.from, message);
 	}
 
-	private isHeard(source: GossipSource): boolean {
-		const silentMs = Math.max(leastSilentMs, missedToSilent * source.intervalMs);
-		return this.clock.monotonic() - source.receivedAt < silentMs;
+	private isLive(source: GossipSource): boolean {
+		const silenceMs = Math.max(minSilenceMs, maxMissedIntervals * source.intervalMs);
+		return this.clock.monotonic() - source.receivedAt < silenceMs;
 	}
 }
 
--- a/src/core/fleet/gossip-splitter.ts
+++ b/src/core/fleet/gossip-splitter.ts
@@ -1,25 +1,25 @@
 /**
- * Cuts news that are too long for one datagram into several, each of them complete for a range of engines.
+ * Splits gossip that exceeds one datagram into several, each complete for a range of engines.
  * @module
  */
 import type { CacheUpdate, EngineRange, EngineWork, ReportAck } from './types.js';
 
-/** Payload that fits a usual path without fragments, in bytes. */
-const payloadBytes = 1400;
-/** Names, numbers, costs of a service, four store readers and the issuer of permits beside the lists, in bytes. */
-const headBytes = 400;
-/** Bytes of one entry of each list as encoded, at the most. */
+/** Payload that fits a typical path MTU without fragmentation. */
+const maxPayloadBytes = 1400;
+/** Reserved for the fields that are not split: header, costs of one service, four store readers and the permit issuer. */
+const headerBytes = 400;
+/** Maximum encoded size of one entry of each list. */
 const workBytes = 12;
-const readBytes = 12;
-const heardBytes = 10;
+const cacheUpdateBytes = 12;
+const reportAckBytes = 10;
 const crashBytes = 16;
 const limitBytes = 16;
 const answerBytes = 12;
 const speedBytes = 18;
-/** First number beyond those of engines. */
+/** Upper bound, exclusive, of all hashes. */
 export const refSpaceEnd = 2 ** 32;
 
-/** Rows beside the lists that are cut; they go with the first part. */
+/** Numbers of rows that are not split and go into the first datagram. */
 export interface UnsplitRowCounts {
 	crashes: number;
 	limits: number;
@@ -27,6 +27,7 @@
 	speeds: number;
 }
 
+/** The split lists of one datagram. */
 export interface DatagramSlice {
 	engines: EngineRange;
 	work: EngineWork[];
@@ -34,34 +35,35 @@
 }
 
 /**
- * @param reads as many go along as fit, those that do not stay
- * @param heard goes with each part
+ * Distributes work and cache updates over as many datagrams as the work needs.
+ * @param cacheUpdates those that fit are removed, the rest stays queued
+ * @param reportAcks repeated in each datagram
  */
 export function splitIntoDatagrams(
 	work: readonly EngineWork[],
-	reads: CacheUpdate[],
-	heard: readonly ReportAck[],
-	whole: UnsplitRowCounts,
+	cacheUpdates: CacheUpdate[],
+	reportAcks: readonly ReportAck[],
+	unsplit: UnsplitRowCounts,
 ): DatagramSlice[] {
-	const allRoom = payloadBytes - headBytes - heard.length * heardBytes;
-	const wholeBytes = bytesOf(whole);
+	const capacityBytes = maxPayloadBytes - headerBytes - reportAcks.length * reportAckBytes;
+	const unsplitBytes = bytesOf(unsplit);
 	const sorted = [...work].sort((a, b) => a.engine - b.engine);
-	const parts: DatagramSlice[] = [];
+	const slices: DatagramSlice[] = [];
 	let from = 0;
 	do {
-		const room = parts.length === 0 ? allRoom - wholeBytes : allRoom;
-		const most = Math.max(1, Math.floor(room / workBytes));
-		const rows = sorted.splice(0, most);
+		const freeBytes = slices.length === 0 ? capacityBytes - unsplitBytes : capacityBytes;
+		const maxRows = Math.max(1, Math.floor(freeBytes / workBytes));
+		const rows = sorted.splice(0, maxRows);
 		const to = sorted[0]?.engine ?? refSpaceEnd;
-		const left = Math.floor((room - rows.length * workBytes) / readBytes);
-		parts.push({
+		const maxUpdates = Math.floor((freeBytes - rows.length * workBytes) / cacheUpdateBytes);
+		slices.push({
 			engines: { from, to },
 			work: rows,
-			cacheUpdates: reads.splice(0, Math.max(0, left)),
+			cacheUpdates: cacheUpdates.splice(0, Math.max(0, maxUpdates)),
 		});
 		from = to;
 	} while (sorted.length > 0);
-	return parts;
+	return slices;
 }
 
 function bytesOf({ crashes, limits, answers, speeds }: UnsplitRowCounts): number {
--- a/src/core/fleet/prefix-cache-map.ts
+++ b/src/core/fleet/prefix-cache-map.ts
@@ -1,125 +1,123 @@
 /**
- * Which engines have read which parts of prompts lately, as far as this VM and its peers know.
+ * Estimates which engines have which prompt segments in their prefix caches, from recent use.
  * @module
  */
 import type { CacheUpdate, EngineRef, SegmentRef } from './types.js';
 
+/** An engine is assumed to evict a segment this long after its last use. */
+const retentionMs = 15_000;
 /**
- * An engine is taken to keep a part for so long after its last use, in milliseconds: memory for
- * half a million tokens turns over in 13 s and more at the prompt rates of the known sites.
+ * A segment can be copied from an engine once it is prefilled. Without word of that, such as after a lost message, it counts
+ * as prefilled this long after its first use, which covers the wait in a busy fleet.
  */
-const keptMs = 15_000;
-/**
- * A part can be copied from an engine once the first event after it has come. Where no word of that came, such as
- * after a lost datagram, it counts as read this long after the word that it will be, in milliseconds: a prompt waits up to a
- * second in a busy fleet.
- */
-const copyableAfterMs = 1000;
-/** Parts that are remembered; the oldest are dropped, which costs a part read again. */
-const maxParts = 20_000;
+const assumedPrefillMs = 1000;
+/** The least recently used segments beyond this number are dropped, which costs a repeated prefill. */
+const maxSegments = 20_000;
 
-/** A part of a prompt, by the number that stands for it. */
+/** A prompt segment, identified by its hash. */
 export interface HashedSegment {
 	ref: SegmentRef;
 	tokens: number;
 }
 
-/** Tokens at the start of a prompt. */
+/** Numbers of leading tokens of a prompt at an engine. */
 export interface CachedTokens {
-	/** That the engine keeps, or is about to read. */
+	/** Tokens that are cached or about to be prefilled. */
 	cached: number;
-	/** That other engines can copy from it. */
+	/** Tokens that other engines can copy. */
 	copyable: number;
 }
 
-/** What is known of one part at one engine, in monotonic milliseconds. */
-interface Use {
-	/** Since when the engine has kept it, as far as is known. */
+/** Use of a segment at an engine; times are in monotonic milliseconds. */
+interface SegmentUse {
+	/** First use since the segment was last assumed evicted. */
 	firstAt: number;
 	lastAt: number;
-	/** A first event came after it. */
-	isDone: boolean;
+	isPrefilled: boolean;
 }
 
-/** What was known of a part at an engine before. */
+/** State of a segment at an engine before an update. */
 export interface PreviousUse {
-	/** Milliseconds since its last use. */
+	/** Milliseconds since the last use. */
 	ageMs: number;
 	isPrefilled: boolean;
 }
 
 export class PrefixCacheMap {
-	private readonly parts = new Map<SegmentRef, Map<EngineRef, Use>>();
+	private readonly segments = new Map<SegmentRef, Map<EngineRef, SegmentUse>>();
 
-	/** @returns what was known of it before; undefined when nothing that still counts */
-	record(
-		{ segment: part, engine, isPrefilled: isDone }: CacheUpdate,
-		now: number,
-	): PreviousUse | undefined {
-		let readers = this.parts.get(part);
-		if (!readers) {
-			readers = new Map();
+	/** @returns the state before the update; undefined when the segment was not cached */
+	record({ segment, engine, isPrefilled }: CacheUpdate, now: number): PreviousUse | undefined {
+		let engines = this.segments.get(segment);
+		if (!engines) {
+			engines = new Map();
 		} else {
-			this.parts.delete(part);
+			this.segments.delete(segment);
 		}
 		// Insertion order is the order of last use.
-		this.parts.set(part, readers);
-		const use = readers.get(engine);
-		const isKept = use !== undefined && now - use.lastAt < keptMs;
-		const before = isKept ? use : undefined;
-		readers.set(engine, {
-			firstAt: before?.firstAt ?? now,
+		this.segments.set(segment, engines);
+		const use = engines.get(engine);
+		const isCached = use !== undefined && now - use.lastAt < retentionMs;
+		const previous = isCached ? use : undefined;
+		engines.set(engine, {
+			firstAt: previous?.firstAt ?? now,
 			lastAt: now,
-			isDone: isDone || before?.isDone === true,
+			isPrefilled: isPrefilled || previous?.isPrefilled === true,
 		});
 		this.dropOldest();
-		return before && { ageMs: now - before.lastAt, isPrefilled: before.isDone };
+		return previous && { ageMs: now - previous.lastAt, isPrefilled: previous.isPrefilled };
 	}
 
 	/**
-	 * How much of the start of a prompt each engine keeps; engines that keep nothing of it are left out. Looks only at
-	 * those that read its first part, so a prompt costs little in a large fleet.
-	 * @param parts in the order of the prompt
+	 * Estimates the cached tokens of a prompt at each engine; engines without any are omitted. Visits only engines that have
+	 * the first segment.
+	 * @param segments in the order of the prompt
 	 */
-	cachedTokensByEngine(parts: readonly HashedSegment[], now: number): Map<EngineRef, CachedTokens> {
-		const kept = new Map<EngineRef, CachedTokens>();
-		const [first] = parts;
-		const readers = first && this.parts.get(first.ref);
-		for (const engine of readers?.keys() ?? []) {
-			const tokens = this.keptAt(engine, parts, now);
+	cachedTokensByEngine(
+		segments: readonly HashedSegment[],
+		now: number,
+	): Map<EngineRef, CachedTokens> {
+		const cachedTokens = new Map<EngineRef, CachedTokens>();
+		const [first] = segments;
+		const engines = first && this.segments.get(first.ref);
+		for (const engine of engines?.keys() ?? []) {
+			const tokens = this.cachedTokensOf(engine, segments, now);
 			if (tokens.cached > 0) {
-				kept.set(engine, tokens);
+				cachedTokens.set(engine, tokens);
 			}
 		}
-		return kept;
+		return cachedTokens;
 	}
 
-	private keptAt(engine: EngineRef, parts: readonly HashedSegment[], now: number): CachedTokens {
+	private cachedTokensOf(
+		engine: EngineRef,
+		segments: readonly HashedSegment[],
+		now: number,
+	): CachedTokens {
 		const tokens = { cached: 0, copyable: 0 };
 		let isCopyable = true;
-		for (const part of parts) {
-			const use = this.parts.get(part.ref)?.get(engine);
-			if (use === undefined || now - use.lastAt >= keptMs) {
+		for (const segment of segments) {
+			const use = this.segments.get(segment.ref)?.get(engine);
+			if (use === undefined || now - use.lastAt >= retentionMs) {
 				break;
 			}
-			tokens.cached += part.tokens;
-			isCopyable &&= use.isDone || now - use.firstAt > copyableAfterMs;
-			tokens.copyable += isCopyable ? part.tokens : 0;
+			tokens.cached += segment.tokens;
+			isCopyable &&= use.isPrefilled || now - use.firstAt > assumedPrefillMs;
+			tokens.copyable += isCopyable ? segment.tokens : 0;
 		}
 		return tokens;
 	}
 
-	/** The engine's memory is gone. */
 	removeEngine(engine: EngineRef): void {
-		for (const readers of this.parts.values()) {
-			readers.delete(engine);
+		for (const engines of this.segments.values()) {
+			engines.delete(engine);
 		}
 	}
 
 	private dropOldest(): void {
-		if (this.parts.size > maxParts) {
-			const oldest = this.parts.keys().next().value as SegmentRef;
-			this.parts.delete(oldest);
+		if (this.segments.size > maxSegments) {
+			const oldest = this.segments.keys().next().value as SegmentRef;
+			this.segments.delete(oldest);
 		}
 	}
 }
--- a/src/core/fleet/prefix-cache-tracker.ts
+++ b/src/core/fleet/prefix-cache-tracker.ts
@@ -1,5 +1,5 @@
 /**
- * What is known of the prompt parts that engines keep, and which of it is still to be told to others.
+ * Tracks which engines have which prompt segments cached, and queues updates of it for other VMs.
  * @module
  */
 import type { PromptPart } from '../relay/definitions.js';
@@ -9,61 +9,62 @@
 import type { CacheUpdate, EngineRef, GossipMessage } from './types.js';
 import { gossipKinds } from './types.js';
 
-/** A part's use is told again when the last word on it is so old, in milliseconds. */
-const tellAgainMs = 4000;
-/** Words that wait to be told at the most: a part that is not told of is read twice. */
-const maxWaiting = 200;
+/** The use of a segment is gossiped again once the last update is this old. */
+const refreshMs = 4000;
+/** Bounds each queue; further updates are dropped, which costs a repeated prefill. */
+const maxQueued = 200;
 
 export class PrefixCacheTracker {
-	/** Words that wait for the aggregator, or the other aggregators. */
+	/** Updates for the aggregator, or for the other aggregators. */
 	readonly upstream: CacheUpdate[] = [];
-	/** Words that wait for the VMs that report here. */
+	/** Updates for the members. */
 	readonly downstream: CacheUpdate[] = [];
 	private readonly cache = new PrefixCacheMap();
 
 	/**
-	 * The engine will read these parts for a request of this VM, or has read them.
-	 * @param isDone the first event after them has come
+	 * Records that an engine prefills segments for a request of this VM, or has done so.
+	 * @param isPrefilled the first event of the answer has arrived
 	 */
 	recordPrefill(
-		parts: readonly PromptPart[],
+		segments: readonly PromptPart[],
 		engineKey: string,
 		isPrefilled: boolean,
 		now: number,
 	): void {
 		const engine = refOf(engineKey);
-		for (const { id } of parts) {
-			const read = { segment: refOf(id), engine, isPrefilled };
-			const known = this.cache.record(read, now);
-			const isNews = !known || known.ageMs > tellAgainMs || (isPrefilled && !known.isPrefilled);
-			if (isNews) {
-				enqueue(read, this.upstream, this.downstream);
+		for (const { id } of segments) {
+			const update = { segment: refOf(id), engine, isPrefilled };
+			const previous = this.cache.record(update, now);
+			const isNew =
+				!previous || previous.ageMs > refreshMs || (isPrefilled && !previous.isPrefilled);
+			if (isNew) {
+				enqueue(update, this.upstream, this.downstream);
 			}
 		}
 	}
 
-	/** Takes in what others tell, and passes it on to those who do not hear them. */
-	merge(news: GossipMessage, now: number): void {
-		for (const read of news.cacheUpdates) {
-			this.cache.record(read, now);
-			if (news.kind === gossipKinds.report) {
-				enqueue(read, this.upstream, this.downstream);
-			} else if (news.kind === gossipKinds.group) {
-				enqueue(read, this.downstream);
+	/** Merges a peer's updates and queues them for VMs that do not receive them from that peer. */
+	merge(message: GossipMessage, now: number): void {
+		for (const update of message.cacheUpdates) {
+			this.cache.record(update, now);
+			if (message.kind === gossipKinds.report) {
+				enqueue(update, this.upstream, this.downstream);
+			} else if (message.kind === gossipKinds.group) {
+				enqueue(update, this.downstream);
 			}
 		}
 	}
 
-	/** How much of the start of a prompt each engine is believed to keep; those that keep nothing are left out. */
+	/** Estimates how many leading tokens of a prompt each engine has cached; engines without any are omitted. */
 	cachedTokensByEngine(
-		parts: readonly PromptPart[],
+		segments: readonly PromptPart[],
 		now: number,
 	): ReadonlyMap<EngineRef, CachedTokens> {
-		const known = parts.map(({ id, tokens }) => ({ ref: refOf(id), tokens }));
-		return this.cache.cachedTokensByEngine(known, now);
+		const hashed = segments.map(({ id, tokens }) => ({ ref: refOf(id), tokens }));
+		return this.cache.cachedTokensByEngine(hashed, now);
 	}
 
-	/** No VM reports here. */
+	/** Discards updates for members while this VM has none. */
 	clearDownstream(): void {
 		this.downstream.length = 0;
 	}
@@ -73,10 +74,10 @@
 	}
 }
 
-function enqueue(read: CacheUpdate, ...queues: CacheUpdate[][]): void {
+function enqueue(update: CacheUpdate, ...queues: CacheUpdate[][]): void {
 	for (const queue of queues) {
-		if (queue.length < maxWaiting) {
-			queue.push(read);
+		if (queue.length < maxQueued) {
+			queue.push(update);
 		}
 	}
 }
--- a/src/core/fleet/reader-selection.ts
+++ b/src/core/fleet/reader-selection.ts
@@ -1,50 +1,48 @@
 /**
- * Which VMs read the store for the fleet. Each change wakes a watch of every VM that follows the store, and
- * each call has its price; so in a large fleet a few VMs follow it and the others hear of changes from them.
- * All VMs rank each other alike by hashing, and the first few read. While the store answers none of these, a few more try each
- * second: it may have turned away just those. When it is down for all, hundreds of VMs that try by themselves win nothing: a fleet of
- * 290 had made 10,100 calls by the fifth second of an outage, starts among them. A VM that hears hardly anyone reads the store itself, at once.
+ * Selects the VMs that read the store in a large fleet; the others receive changes from them, which keeps the load on the
+ * store low. All VMs compute the same ranking by hashing, and the first few read. While the store answers none of these,
+ * further VMs try in turn. A VM that is isolated from its peers reads the store itself.
  * @module
  */
 import * as rendezvous from '../membership/rendezvous.js';
 
-/** In a fleet of this size or smaller all VMs read the store: its calls cost little there. */
+/** Fleet size up to which all VMs read the store. */
 export const smallFleetSize = 12;
-/** VMs that read the store for the others; changes still come while three of them are cut off. */
+/** VMs that read the store for the others; several, so that some may be cut off. */
 const readerCount = 4;
-/** A peer reads the store if the store answered it within this time, in milliseconds; it proves that each half second. */
+/** A peer counts as a reader if the store answered it within this time. */
 export const maxContactAgeMs = 1500;
-/** A VM that reads for others tells them so often at least, in milliseconds: three are lost before it seems cut off. */
+/** Maximum interval between gossip of a reader; several messages may be lost before its contact looks too old. */
 export const maxReaderSilenceMs = 400;
-/** While no VM is heard that the store answers, so many more try each time so long has passed, in milliseconds. */
+/** While no reader is known, `readerCount` more VMs try each time this interval passes. */
 const takeOverMs = 2000;
-/** A VM that hears fewer than this share of the others is cut off from them: nobody reads for it. */
-const heardShare = 0.5;
-/** A VM stops reading when it was not needed for so long, in milliseconds. */
+/** A VM that receives gossip of a smaller share of the fleet is isolated. */
+const minLiveShare = 0.5;
+/** A VM stops reading after it was not needed for this time. */
 const lingerMs = 2000;
-/** Just after its start a VM stops at once, in milliseconds: all VMs may have started together and read. */
-const startMs = 3000;
-/** Longest back-off of a VM whose turn it is to read, and of the others, in milliseconds. */
+/** Within this time after its start a VM stops at once, since all VMs may have started together. */
+const startupMs = 3000;
+/** Maximum back-off of selected readers, and of other VMs. */
 const readerBackoffMs = 400;
 const otherBackoffMs = 2500;
-/** Time between two renewals of a registration, by VMs that read the store and by others, in milliseconds. */
-const readerRenewMs = 500;
-const otherRenewMs = 4000;
-const renewMs = 2000;
+/** Intervals between renewals of a registration, in a large fleet by readers and by other VMs, and in a small fleet. */
+const readerRenewalMs = 500;
+const otherRenewalMs = 4000;
+const smallFleetRenewalMs = 2000;
 
-/** What the fleet looks like from this VM. */
+/** State of the fleet as seen by this VM. */
 export interface FleetSnapshot {
-	/** VMs known, this one included; another list when it changes. */
+	/** Names of the known VMs, this one included; a change replaces the array. */
 	names: readonly string[];
-	/** Peers that the store answered lately. */
+	/** Number of peers that recently had an answer from the store. */
 	freshReaders: number;
 	/**
-	 * VMs heard of now, this one included.
+	 * Number of VMs in the gossip view, this one included.
 	 * @default 1
 	 */
 	liveVms?: number;
 	/**
-	 * This VM acts for the whole fleet: it goes on reading, and the others hear of it.
+	 * This VM holds the fleet-wide duty, so it keeps reading.
 	 * @default false
 	 */
 	isDutyHolder?: boolean;
@@ -53,73 +51,73 @@
 export class ReaderSelection {
 	private neededAt = 0;
 	private startedAt?: number;
-	/** Place of this VM among all, by which it reads; 0 is the first. */
+	/** Index of this VM in the ranking. */
 	private rank = 0;
-	/** Names by which it was ranked. */
+	/** Names that the rank was computed from. */
 	private names?: readonly string[];
-	/** Since when no peer was heard that the store answers. */
-	private silentSince?: number;
+	/** Time since which no reader is known. */
+	private noReaderSince?: number;
 	private fleetSize = 1;
-	private reads = true;
+	private isReading = true;
 
 	constructor(private readonly self: string) {}
 
 	/** Whether this VM reads the store now. */
 	get isReader(): boolean {
-		return this.reads;
+		return this.isReading;
 	}
 
-	/** Looks at the fleet anew; called several times a second. */
+	/** Re-evaluates whether this VM reads the store; called several times a second. */
 	update(fleet: FleetSnapshot, now: number): void {
-		const { names, freshReaders, liveVms: heardVms = 1, isDutyHolder: holdsDuty = false } = fleet;
+		const { names, freshReaders, liveVms = 1, isDutyHolder = false } = fleet;
 		this.startedAt ??= now;
 		this.fleetSize = names.length;
 		if (names !== this.names) {
 			this.names = names;
 			this.rank = rendezvous.pickTop('store readers', names, names.length).indexOf(this.self);
 		}
-		this.silentSince = freshReaders > 0 ? undefined : (this.silentSince ?? now);
-		const isCutOff = heardVms < names.length * heardShare;
-		const linger = now - this.startedAt < startMs ? 0 : lingerMs;
-		const isNeeded = freshReaders === 0 && (isCutOff || this.rank < this.turns(now));
-		if (this.isSelected || isNeeded || holdsDuty) {
+		this.noReaderSince = freshReaders > 0 ? undefined : (this.noReaderSince ?? now);
+		const isIsolated = liveVms < names.length * minLiveShare;
+		const linger = now - this.startedAt < startupMs ? 0 : lingerMs;
+		const isNeeded = freshReaders === 0 && (isIsolated || this.rank < this.candidateCount(now));
+		if (this.isSelected || isNeeded || isDutyHolder) {
 			this.neededAt = now;
-			this.reads = true;
+			this.isReading = true;
 		} else if (now - this.neededAt > linger) {
-			this.reads = false;
+			this.isReading = false;
 		}
 	}
 
-	/** Its place among the VMs that read the store, from 0; undefined while it does not. */
+	/** Index in the ranking of readers; undefined while this VM does not read the store. */
 	get readerRank(): number | undefined {
-		return this.reads ? this.rank : undefined;
+		return this.isReading ? this.rank : undefined;
 	}
 
 	private get isSelected(): boolean {
 		return this.fleetSize <= smallFleetSize || this.rank < readerCount;
 	}
 
-	/** VMs that should try to read the store now. */
-	private turns(now: number): number {
-		const silentMs = now - (this.silentSince ?? now);
-		return readerCount * (1 + Math.floor(silentMs / takeOverMs));
+	/** Number of VMs that should try to read the store now. */
+	private candidateCount(now: number): number {
+		const noReaderMs = now - (this.noReaderSince ?? now);
+		return readerCount * (1 + Math.floor(noReaderMs / takeOverMs));
 	}
 
-	/** Whether other VMs rely on what this one reads: they must hear of it also when nothing changes. */
+	/** Whether other VMs rely on this one, so that it has to gossip even without changes. */
 	get isReadingForOthers(): boolean {
-		return this.reads && this.fleetSize > smallFleetSize;
+		return this.isReading && this.fleetSize > smallFleetSize;
 	}
 
-	/** Longest time between two tries at a store that does not answer, in milliseconds. */
+	/** Maximum back-off between attempts to reach an unavailable store, in milliseconds. */
 	get maxBackoffMs(): number {
 		return this.isSelected ? readerBackoffMs : otherBackoffMs;
 	}
 
-	/** Time between two renewals of the registration, in milliseconds. */
+	/** Interval between renewals of the registration, in milliseconds. */
 	get renewalIntervalMs(): number {
 		if (this.fleetSize <= smallFleetSize) {
-			return renewMs;
+			return smallFleetRenewalMs;
 		}
-		return this.reads ? readerRenewMs : otherRenewMs;
+		return this.isReading ? readerRenewalMs : otherRenewalMs;
 	}
 }
--- a/src/core/fleet/refs.ts
+++ b/src/core/fleet/refs.ts
@@ -1,10 +1,10 @@
 /**
- * Numbers that stand for names in messages.
+ * Compact hashes that replace names in gossip messages.
  * @module
  */
 import * as rendezvous from '../membership/rendezvous.js';
 
-/** 32 bits that stand for the id of an engine or a part, or for the name of a VM. */
+/** Returns the 32-bit hash of an engine id, a prompt segment id or a VM name. */
 export function refOf(id: string): number {
 	return rendezvous.hashText(id);
 }
--- a/src/core/fleet/store-readers.ts
+++ b/src/core/fleet/store-readers.ts
@@ -1,20 +1,20 @@
 /**
- * Which VMs the store answered lately, as news tell.
+ * Tracks the VMs that recently had an answer from the store, as reported by gossip.
  * @module
  */
 import { eraOf } from '../store/revisions.js';
 import type { StoreReader } from './types.js';
 
-/** Readers that are told on at the most; more read the store only for a moment, after a start. */
-const mostTold = 4;
-/** One whom the store has not answered for so long is not told on, in milliseconds: nobody counts it any more. */
-const toldMs = 2000;
+/** Maximum readers in a message; more VMs read the store only briefly after a start. */
+const maxReaders = 4;
+/** A reader is removed once its last contact is this old. */
+const retentionMs = 2000;
 
 interface KnownReader {
 	reader: StoreReader;
-	/** Milliseconds since boot. */
+	/** Time of the last contact, in milliseconds since boot. */
 	contactAt: number;
-	/** It reports here, so this VM speaks for it. */
+	/** The reader is a member, so this VM gossips it to other aggregators. */
 	isMember: boolean;
 }
 
@@ -22,20 +22,22 @@
 	private readonly known = new Map<string, KnownReader>();
 
 	/**
-	 * @param isMember it told so itself, in its report
-	 * @returns whether it is new, or tells of other engines than before; a revision rises with each heartbeat of an engine
+	 * Merges the state of a reader.
+	 * @param isMember the state comes from a member's own report
+	 * @returns whether the reader is new or its engines, era or duty token changed. The revision alone does not count, since
+	 * it rises with each heartbeat of an engine.
 	 */
 	merge(reader: StoreReader, isMember: boolean, now: number): boolean {
 		const contactAt = now - reader.contactAgeMs;
-		const before = this.known.get(reader.address);
-		if (before && contactAt < before.contactAt) {
+		const previous = this.known.get(reader.address);
+		if (previous && contactAt < previous.contactAt) {
 			return false;
 		}
 		this.known.set(reader.address, { reader, contactAt, isMember });
-		return !before || differ(before.reader, reader);
+		return !previous || hasChanged(previous.reader, reader);
 	}
 
-	/** The one that acts for the whole fleet, by the highest token; undefined when none was answered by the store lately. */
+	/** Returns the reader with the highest duty token; undefined when none had an answer from the store within the time. */
 	dutyHolder(withinMs: number, now: number): StoreReader | undefined {
 		let holder: StoreReader | undefined;
 		for (const { reader, contactAt } of this.known.values()) {
@@ -47,33 +49,36 @@
 		return holder;
 	}
 
-	/** Readers that the store answered within this time, in milliseconds. */
+	/** Returns the number of readers that had an answer from the store within this time, in milliseconds. */
 	count(withinMs: number, now: number): number {
 		return [...this.known.values()].filter(({ contactAt }) => now - contactAt < withinMs).length;
 	}
 
-	/** All that this VM may tell its members of: who acts for the fleet, then the newest revisions. */
+	/** Returns the readers to gossip to members: the duty holder first, then by newest revision. */
 	all(now: number): StoreReader[] {
-		return this.told(() => true, now);
+		return this.select(() => true, now);
 	}
 
-	/** Those that report here. Only for them other aggregators are told: what goes in circles grows no older. */
+	/** Returns the readers among the members, to gossip to other aggregators. Echoing others would keep their state alive. */
 	members(now: number): StoreReader[] {
-		return this.told(({ isMember }) => isMember, now);
+		return this.select(({ isMember }) => isMember, now);
 	}
 
-	private told(isTold: (known: KnownReader) => boolean, now: number): StoreReader[] {
+	private select(isIncluded: (known: KnownReader) => boolean, now: number): StoreReader[] {
 		for (const [address, { contactAt }] of this.known) {
-			if (now - contactAt > toldMs) {
+			if (now - contactAt > retentionMs) {
 				this.known.delete(address);
 			}
 		}
-		const told = [...this.known.values()].filter(isTold).sort(byUse).slice(0, mostTold);
-		return told.map(({ reader, contactAt }) => ({ ...reader, contactAgeMs: now - contactAt }));
+		const selected = [...this.known.values()]
+			.filter(isIncluded)
+			.sort(compareReaders)
+			.slice(0, maxReaders);
+		return selected.map(({ reader, contactAt }) => ({ ...reader, contactAgeMs: now - contactAt }));
 	}
 }
 
-function byUse(a: KnownReader, b: KnownReader): number {
+function compareReaders(a: KnownReader, b: KnownReader): number {
 	return (
 		b.reader.dutyToken - a.reader.dutyToken ||
 		b.reader.revision - a.reader.revision ||
@@ -81,7 +86,7 @@
 	);
 }
 
-function differ(a: StoreReader, b: StoreReader): boolean {
+function hasChanged(a: StoreReader, b: StoreReader): boolean {
 	const isOtherEra = eraOf(a.revision) !== eraOf(b.revision);
 	return isOtherEra || a.digest !== b.digest || a.dutyToken !== b.dutyToken;
 }
--- a/src/core/fleet/types.ts
+++ b/src/core/fleet/types.ts
@@ -1,5 +1,5 @@
 /**
- * What VMs tell each other about the work they gave to engines.
+ * Gossip messages in which VMs exchange the work they have at engines and what they know of the fleet.
  * @module
  */
 
@@ -9,115 +9,116 @@
 import type { IssuerAnnouncement, LimitUpdate } from '../limits/types.js';
 import type { CrashReport } from '../quarantine/types.js';
 
-/** 32 bits that stand for an engine's id in messages. */
+/** 32-bit hash of an engine's id. */
 export type EngineRef = number;
-/** 32 bits that stand for a VM's name in messages. */
+/** 32-bit hash of a VM's name. */
 export type VmRef = number;
-/** 32 bits that stand for a prompt part's id in messages. */
+/** 32-bit hash of a prompt segment's id. */
 export type SegmentRef = number;
 
-/** Work of one VM, or several, at one engine. */
+/** Work of one or more VMs at an engine. */
 export interface EngineWork {
 	engine: EngineRef;
-	/** Requests under way. */
+	/** Requests in flight. */
 	running: number;
-	/** Prompt tokens that are not read yet. */
+	/** Prompt tokens that are not prefilled yet. */
 	promptTokens: number;
 }
 
-/** An engine will read a part of a prompt, or has read it. */
+/** States that an engine prefills a prompt segment, or has done so. */
 export interface CacheUpdate {
 	segment: SegmentRef;
 	engine: EngineRef;
-	/** It has: other engines can copy the part from it. */
+	/** The segment is in the engine's prefix cache, so other engines can copy it. */
 	isPrefilled: boolean;
 }
 
-/** Work that callers bring, in engines kept busy by it. */
+/** Work that arrives from callers, as the number of engines it keeps busy. */
 export interface Demand {
-	/** By prompts that are long enough to hold up streams beside them. */
+	/** From prompts long enough to delay streams on the same engine. */
 	long: number;
 	short: number;
 }
 
-/** What a VM that reads the store tells of it. */
+/** State of the store as seen by a VM that reads it. */
 export interface StoreStatus {
 	/** Milliseconds since the store last answered this VM. */
 	contactAgeMs: number;
-	/** Revision that its list of engines shows. */
+	/** Store revision of the VM's list of engines. */
 	revision: number;
-	/** Stands for the whole list of engines; equal lists have equal digests. */
+	/** Digest of the list of engines; equal lists have equal digests. */
 	digest: number;
-	/** Fencing token under which it acts for the whole fleet; 0 while it does not. */
+	/** Fencing token of the fleet-wide duty; 0 while the VM does not hold it. */
 	dutyToken: number;
 }
 
-/** A VM that reads the store, and what it tells. */
+/** A VM that reads the store, with its view of it. */
 export interface StoreReader extends StoreStatus {
-	/** Where it serves copies of what it read, as IP:PORT. */
+	/** Where the VM serves copies of what it read, as IP:PORT. */
 	address: string;
 }
 
-/** What a datagram between VMs speaks for. */
+/** Scope of a gossip message. */
 export const gossipKinds = {
-	/** A VM's own work, for its aggregator. */
+	/** A VM's own work, sent to its aggregator. */
 	report: 'report',
-	/** Sums of an aggregator and the VMs that report to it, for the other aggregators. */
+	/** Sums over an aggregator and its members, sent to the other aggregators. */
 	group: 'group',
-	/** Sums of the whole fleet, for the VMs that report to the sender. */
+	/** Sums over the whole fleet, sent to the sender's members. */
 	fleet: 'fleet',
 } as const;
 export type GossipKind = (typeof gossipKinds)[keyof typeof gossipKinds];
 
-/** Engines that a datagram speaks for: those from one number up to, but not with, another. */
+/** Half-open range of engine hashes that a message covers. */
 export interface EngineRange {
 	from: EngineRef;
+	/** Exclusive. */
 	to: EngineRef;
 }
 
-/** The last report that an aggregator has taken in of a VM. */
+/** Acknowledges the last report that an aggregator merged from a VM. */
 export interface ReportAck {
 	vm: VmRef;
 	seq: number;
 }
 
-/** One datagram between VMs: whole state of the engines that it speaks for, so that a lost one is repaired by the next. */
+/** One gossip datagram. It holds the full state of the engines it covers, so the next one makes up for a lost one. */
 export interface GossipMessage {
 	kind: GossipKind;
 	from: string;
-	/** Changes with each start of the process. */
+	/** Identifies the process start; changes with each restart. */
 	incarnation: number;
-	/** Rises with each moment that is told; older ones that come late are dropped. */
+	/** Increases with each round of the sender; receivers drop older messages. */
 	seq: number;
 	/** Configuration in force at the sender. */
 	configurationVersion: number;
-	/** The sender's port and address for news, configurations and engines. */
+	/** Where the sender receives gossip and serves configurations and engines, as IP:PORT. */
 	address: string;
-	/** The sender stops, or will report to another VM. */
+	/** The sender stops or moves to another aggregator. */
 	isLeaving: boolean;
-	/** Time between two news of the sender under load, in milliseconds. */
+	/** Interval between the sender's messages under load, in milliseconds. */
 	intervalMs: number;
-	/** VMs that it speaks for. */
+	/** Number of VMs that the sums include. */
 	vmCount: number;
 	engines: EngineRange;
 	/** Engines of the range that have work. */
 	work: EngineWork[];
 	cacheUpdates: CacheUpdate[];
 	demand: Demand;
-	/** What is known of the costs of work; now and then. */
+	/** Cost estimates; not in every message. */
 	costs?: CostSums[];
-	/** Answers of engines that failed requests lately; whole, in one datagram of a moment. */
+	/** Recent answers of engines that fail requests; complete, in one datagram of a round. */
 	answers?: EngineAnswers[];
-	/** What was lately seen of single engines' speed; several times a second. */
+	/** Recent speeds of single engines; not in every message. */
 	speeds?: SpeedSums[];
-	/** VMs that the store answered lately. */
+	/** VMs that recently had an answer from the store. */
 	storeReaders: StoreReader[];
-	/** Reports that the sums contain. */
+	/** Reports that the sums include. */
 	reportAcks: ReportAck[];
-	/** Engines that ended, and contents that were there then. */
+	/** Engines that ended, and the contents they were processing. */
 	crashes: CrashReport[];
-	/** Requests a second that engines take from all VMs together. */
+	/** Requests per second that engines accept from all VMs together. */
 	limits: LimitUpdate[];
-	/** The VM that issues permits for them; undefined while no limit is in force. */
+	/** The VM that issues permits for the limits; undefined while no limit is in force. */
 	issuer?: IssuerAnnouncement;
 }
--- a/src/core/fleet/vm-registry.ts
+++ b/src/core/fleet/vm-registry.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps this VM registered in the store under a lease, and reads the registrations of the others.
+ * Keeps this VM registered in the store under a lease, and reads the registrations of the other VMs.
  * @module
  */
 import type { Clock, Log, Random } from '../definitions.js';
@@ -9,32 +9,26 @@
 import type { RegisteredVm } from './aggregator-selection.js';
 import { addressOf, parseAddress } from './aggregator-selection.js';
 
-/** The registration ends so long after the last renewal, in milliseconds; a VM that starts anew within it goes on with it. */
+/** Duration of the registration's lease. A VM that restarts within it takes its previous registration over. */
 const leaseMs = 12_000;
-/** Shortest wait between two looks whether a renewal is due, in milliseconds. */
-const lookMs = 500;
+/** Maximum interval between checks whether a renewal is due. */
+const renewalCheckMs = 500;
 /**
- * The others are read so often, in milliseconds, by reads that may be stale and cost a tenth: a VM
- * that starts tells the others of itself. Just after the start they are read more often.
+ * Intervals between reads of the other registrations, later and for the first few reads. Stale reads suffice, since a VM
+ * that starts announces itself by gossip.
  */
-const readEveryMs = 8000;
-const firstReadsEveryMs = 2000;
-const firstReads = 4;
-/** The others are read again so long after registering, in milliseconds: VMs that started together are listed then. */
-const secondReadMs = 400;
-/** Between tries to register, in milliseconds; all VMs may try at once after an outage. */
+const readIntervalMs = 8000;
+const initialReadIntervalMs = 2000;
+const initialReads = 4;
+/** Delay of the second read after registering, which finds VMs that started at the same time. */
+const secondReadDelayMs = 400;
+/** Mean delay between attempts to register; jittered, since all VMs may retry at once after an outage. */
 const retryMs = 1500;
-/**
- * While others are heard, and none that the store answers, a VM tries so seldom, in milliseconds. Once one is heard that the
- * store answers, it tries within the time above.
- */
+/** Maximum delay between attempts while the store answers no VM. */
 const outageRetryMs = 6000;
-/**
- * After the store came back from an older copy each VM writes its registration again at a moment within this time, in
- * milliseconds: 340 VMs make 450 calls a second of it, and the store takes 1,200 to 3,200.
- */
-const writeAgainMs = 1500;
-/** A VM whose registration ended is still told news for so long, in milliseconds. */
+/** Time over which the VMs spread rewrites of their registrations after the store was restored from a backup. */
+const rewriteSpreadMs = 1500;
+/** A VM stays listed for this time after its registration ended. */
 const lingerMs = 10_000;
 
 export interface VmRegistryOptions {
@@ -42,136 +36,135 @@
 	clock: Clock;
 	random: Random;
 	log: Log;
-	/** Prefix of the keys of all VMs. */
+	/** Key prefix of all registrations. */
 	prefix: string;
-	/** What the others are told of this VM. */
+	/** Content of this VM's registration. */
 	self: RegisteredVm;
 	sleep: (ms: number) => Promise<void>;
 	/**
-	 * Time between renewals now, in milliseconds. They also show that the store is reached: a watch that
-	 * hangs on a dead connection is dropped at the first that fails.
+	 * Current interval between renewals, in milliseconds. Renewals also detect dead connections, on which a watch would hang.
 	 */
 	renewalIntervalMs: () => number;
-	/** Whether others try to read the store for this VM, and it answers none of them. */
+	/** Whether the store answers none of the VMs that read it for this one. */
 	isStoreUnavailable: () => boolean;
-	/** A renewal failed: what else waits for the store may hang as well. */
+	/** Called when a renewal fails, so that other calls that hang on the store can be dropped. */
 	onStoreUnreachable: () => void;
 }
 
-interface Listed {
+interface Registration {
 	vm: RegisteredVm;
-	/** Set when the registration ended. */
-	goneAt?: number;
+	/** Time at which the registration was found missing, in monotonic milliseconds. */
+	removedAt?: number;
 }
 
 export class VmRegistry {
-	private readonly listed = new Map<string, Listed>();
+	private readonly registrations = new Map<string, Registration>();
 	private cachedOthers: RegisteredVm[] = [];
 	private cachedNames: string[] = [];
-	/** When the list of others may change by itself, in monotonic milliseconds. */
-	private othersUntil = Number.NEGATIVE_INFINITY;
+	/** Time until which the cached lists are valid, in monotonic milliseconds. */
+	private cachedUntil = Number.NEGATIVE_INFINITY;
 	private lease?: number;
-	/** Lease of this VM's registration as the last read shows it. */
-	private leaseBefore?: number;
-	private stopped = false;
-	private reads = 0;
-	private readAt = 0;
-	private wasRead = false;
-	/** When the registration is written again, in milliseconds since boot; undefined when the store surely has it. */
-	private writeAgainAt?: number;
+	/** Lease of this VM's registration in the last read, perhaps from a previous process. */
+	private previousLease?: number;
+	private isStopped = false;
+	private readCount = 0;
+	private lastReadAt = 0;
+	private hasRead = false;
+	/** Time of the next rewrite of the registration, in milliseconds since boot; undefined when none is needed. */
+	private rewriteAt?: number;
 
 	constructor(private readonly opts: VmRegistryOptions) {}
 
-	/** VMs that the store lists, this one included; undefined before the first read. */
+	/** Number of registered VMs, this one included; undefined before the first read. */
 	get size(): number | undefined {
-		return this.wasRead ? Math.max(1, this.others().length + 1) : undefined;
+		return this.hasRead ? Math.max(1, this.others().length + 1) : undefined;
 	}
 
-	/** The other VMs; the same list until it changes, since it is asked for often. */
+	/** Returns the other VMs; the same array until it changes. */
 	others(): readonly RegisteredVm[] {
 		const now = this.opts.clock.monotonic();
-		if (now >= this.othersUntil) {
-			this.listOthers(now);
+		if (now >= this.cachedUntil) {
+			this.updateCache(now);
 		}
 		return this.cachedOthers;
 	}
 
-	/** Names of all VMs, this one included; the same list until it changes. */
+	/** Names of all VMs, this one included; the same array until it changes. */
 	get names(): readonly string[] {
 		this.others();
 		return this.cachedNames;
 	}
 
-	private listOthers(now: number): void {
+	private updateCache(now: number): void {
 		this.cachedOthers = [];
-		this.othersUntil = Number.POSITIVE_INFINITY;
-		for (const { vm, goneAt } of this.listed.values()) {
-			const until = goneAt === undefined ? Number.POSITIVE_INFINITY : goneAt + lingerMs;
+		this.cachedUntil = Number.POSITIVE_INFINITY;
+		for (const { vm, removedAt } of this.registrations.values()) {
+			const until = removedAt === undefined ? Number.POSITIVE_INFINITY : removedAt + lingerMs;
 			if (vm.name !== this.opts.self.name && now < until) {
 				this.cachedOthers.push(vm);
-				this.othersUntil = Math.min(this.othersUntil, until);
+				this.cachedUntil = Math.min(this.cachedUntil, until);
 			}
 		}
 		this.cachedNames = [this.opts.self.name, ...this.cachedOthers.map((vm) => vm.name)];
 	}
 
-	/** Registers and renews until stopped. */
+	/** Registers this VM and renews the registration until stopped. */
 	async run(): Promise<void> {
-		while (!this.stopped) {
+		while (!this.isStopped) {
 			try {
 				await this.step();
-				await this.untilRenewal();
+				await this.waitForRenewal();
 			} catch (err) {
 				if (!(err instanceof StoreError)) {
 					throw err;
 				}
-				this.failed(err);
-				await this.untilRetry();
+				this.handleFailure(err);
+				await this.waitForRetry();
 			}
 		}
 	}
 
 	/**
-	 * The registration is left to its lease: a process that starts in its place takes it over, and the others are told by
-	 * news that this VM stops.
+	 * Stops renewing. The registration stays until its lease ends, so a restarted process can take it over; gossip announces
+	 * that this VM stops.
 	 */
 	stop(): void {
-		this.stopped = true;
+		this.isStopped = true;
 	}
 
-	/** The store came back from an older copy, which may lack the registration though its lease runs on. */
+	/** Schedules a rewrite after the store was restored from a backup, which may lack the registration though its lease lives. */
 	scheduleRewrite(): void {
 		const { clock, random } = this.opts;
-		this.writeAgainAt = clock.sinceBoot() + random.next() * writeAgainMs;
+		this.rewriteAt = clock.sinceBoot() + random.next() * rewriteSpreadMs;
 	}
 
-	private get mustWriteAgain(): boolean {
-		return this.writeAgainAt !== undefined && this.opts.clock.sinceBoot() >= this.writeAgainAt;
+	private get isRewriteDue(): boolean {
+		return this.rewriteAt !== undefined && this.opts.clock.sinceBoot() >= this.rewriteAt;
 	}
 
 	private async step(): Promise<void> {
 		if (this.lease !== undefined) {
 			await this.opts.store.renewLease(this.lease);
-			await this.writeAgain(this.lease);
-			const every = this.reads <= firstReads ? firstReadsEveryMs : readEveryMs;
-			if (this.opts.clock.monotonic() - this.readAt >= every) {
+			await this.rewriteIfDue(this.lease);
+			const intervalMs = this.readCount <= initialReads ? initialReadIntervalMs : readIntervalMs;
+			if (this.opts.clock.monotonic() - this.lastReadAt >= intervalMs) {
 				await this.readOthers();
 			}
 			return;
 		}
 		await this.readOthers();
 		this.lease = (await this.takeOver()) ?? (await this.register());
-		await this.opts.sleep(secondReadMs);
-		if (!this.stopped) {
+		await this.opts.sleep(secondReadDelayMs);
+		if (!this.isStopped) {
 			await this.readOthers();
 		}
 	}
 
-	private async writeAgain(lease: number): Promise<void> {
-		if (this.mustWriteAgain) {
+	private async rewriteIfDue(lease: number): Promise<void> {
+		if (this.isRewriteDue) {
 			const { self, prefix, store, log } = this.opts;
 			await store.put(prefix + self.name, encodeVm(self), lease);
-			this.writeAgainAt = undefined;
+			this.rewriteAt = undefined;
 			log.info('vm.registered', { lease, taken_over: true });
 		}
 	}
@@ -180,20 +173,19 @@
 		const { self, prefix, store, log } = this.opts;
 		const lease = await store.grantLease(leaseMs);
 		await store.put(prefix + self.name, encodeVm(self), lease);
-		this.writeAgainAt = undefined;
+		this.rewriteAt = undefined;
 		log.info('vm.registered', { lease, taken_over: false });
 		return lease;
 	}
 
 	/**
-	 * Goes on with the registration of the process before, if its lease still runs: a renewal costs a twentieth of a new
-	 * lease and key, and most VMs that start had ended seconds ago.
+	 * Takes over the registration of a previous process if its lease still lives, which costs less than registering anew.
 	 * @returns the lease; undefined when there is none
 	 */
 	private async takeOver(): Promise<number | undefined> {
 		const { store, log } = this.opts;
-		const lease = this.leaseBefore;
-		this.leaseBefore = undefined;
+		const lease = this.previousLease;
+		this.previousLease = undefined;
 		if (lease === undefined) {
 			return undefined;
 		}
@@ -209,91 +201,91 @@
 		return lease;
 	}
 
-	private async untilRetry(): Promise<void> {
-		const { clock, random, sleep, isStoreUnavailable: isStoreAway } = this.opts;
+	private async waitForRetry(): Promise<void> {
+		const { clock, random, sleep, isStoreUnavailable } = this.opts;
 		const until = clock.monotonic() + outageRetryMs;
 		do {
 			await sleep(retryMs * (0.5 + random.next()));
-		} while (!this.stopped && isStoreAway() && clock.monotonic() < until);
+		} while (!this.isStopped && isStoreUnavailable() && clock.monotonic() < until);
 	}
 
 	/**
-	 * Looks now and then, since a VM whose turn it becomes to read the store renews sooner, and since the lease runs on while
-	 * the VM is suspended: it is renewed right after.
+	 * Checks periodically, since the interval shortens when this VM becomes a reader, and since the lease has to be renewed
+	 * right after a suspension.
 	 */
-	private async untilRenewal(): Promise<void> {
+	private async waitForRenewal(): Promise<void> {
 		const jitter = 0.9 + 0.2 * this.opts.random.next();
-		const since = this.opts.clock.sinceBoot();
+		const startedAt = this.opts.clock.sinceBoot();
 		do {
-			await this.opts.sleep(Math.min(lookMs, this.opts.renewalIntervalMs()) * jitter);
+			await this.opts.sleep(Math.min(renewalCheckMs, this.opts.renewalIntervalMs()) * jitter);
 		} while (
-			!this.stopped &&
-			!this.mustWriteAgain &&
-			this.opts.clock.sinceBoot() - since < this.opts.renewalIntervalMs() * jitter - 1
+			!this.isStopped &&
+			!this.isRewriteDue &&
+			this.opts.clock.sinceBoot() - startedAt < this.opts.renewalIntervalMs() * jitter - 1
 		);
 	}
 
 	private async readOthers(): Promise<void> {
-		this.reads++;
-		this.readAt = this.opts.clock.monotonic();
+		this.readCount++;
+		this.lastReadAt = this.opts.clock.monotonic();
 		const { items } = await this.opts.store.range(this.opts.prefix, true);
-		this.wasRead = true;
-		const seen = new Set(items.map((item) => this.vmOf(item.key)));
+		this.hasRead = true;
+		const found = new Set(items.map((item) => this.vmNameOf(item.key)));
 		for (const item of items) {
-			this.put(item);
+			this.addRegistration(item);
 		}
-		for (const vm of this.listed.keys()) {
-			if (!seen.has(vm)) {
-				this.gone(vm);
+		for (const vm of this.registrations.keys()) {
+			if (!found.has(vm)) {
+				this.markRemoved(vm);
 			}
 		}
-		this.othersUntil = Number.NEGATIVE_INFINITY;
+		this.cachedUntil = Number.NEGATIVE_INFINITY;
 	}
 
-	private failed(err: StoreError): void {
+	private handleFailure(err: StoreError): void {
 		if (err.failure === storeFailures.leaseEnded) {
 			this.lease = undefined;
-			this.leaseBefore = undefined;
+			this.previousLease = undefined;
 		}
 		this.opts.log.warn('vm.renewal-failed', { reason: err.failure, error: err.message });
 		this.opts.onStoreUnreachable();
 	}
 
-	private put(item: StoreItem): void {
-		const name = this.vmOf(item.key);
+	private addRegistration(item: StoreItem): void {
+		const name = this.vmNameOf(item.key);
 		const { self } = this.opts;
 		if (name === self.name && item.value === encodeVm(self) && item.lease !== 0) {
-			this.leaseBefore = item.lease;
+			this.previousLease = item.lease;
 		}
 		const vm = decodeVm(name, item.value);
 		if (vm) {
-			this.listed.set(name, { vm });
+			this.registrations.set(name, { vm });
 			return;
 		}
 		const revision = storedRevision(item.revision);
 		this.opts.log.warn('vm.unreadable', { key: item.key, revision });
 	}
 
-	private gone(vm: string): void {
-		const listed = this.listed.get(vm);
-		if (listed) {
-			listed.goneAt ??= this.opts.clock.monotonic();
+	private markRemoved(vm: string): void {
+		const registration = this.registrations.get(vm);
+		if (registration) {
+			registration.removedAt ??= this.opts.clock.monotonic();
 		}
 	}
 
-	private vmOf(key: string): string {
+	private vmNameOf(key: string): string {
 		return key.slice(this.opts.prefix.length);
 	}
 }
 
-/** "IP:PORT CORES DOMAIN". */
+/** Encodes a registration as "IP:PORT CORES DOMAIN". */
 function encodeVm({ address, cores, domain }: RegisteredVm): string {
 	return `${addressOf(address)} ${cores} ${domain}`;
 }
 
 const vmPattern = /^(\d+\.\d+\.\d+\.\d+:\d+) (\d+(?:\.\d+)?) (.*)$/;
 
-/** @returns undefined when another writer left something else under the key */
+/** @returns undefined when the value is not a registration */
 function decodeVm(name: string, value: string): RegisteredVm | undefined {
 	const [, address, cores, domain] = vmPattern.exec(value) ?? [];
 	if (address === undefined || domain === undefined) {
--- a/src/core/fleet/work-sums.ts
+++ b/src/core/fleet/work-sums.ts
@@ -1,21 +1,21 @@
 /**
- * Sums of work at engines, kept up as work is added and taken off.
+ * Incrementally updated sums of work per engine.
  * @module
  */
 import type { EngineRef, EngineWork } from './types.js';
 
-/** Work that is added to an engine's, or taken off. */
+/** Amounts to add to the work at an engine; negative ones subtract. */
 export type WorkChange = Partial<Omit<EngineWork, 'engine'>>;
 
 export class WorkSums {
 	private readonly byEngine = new Map<EngineRef, EngineWork>();
 
-	/** Work at an engine, as a copy. */
+	/** Returns a copy of the work at an engine. */
 	of(engine: EngineRef): EngineWork {
 		return { ...(this.byEngine.get(engine) ?? emptyWork(engine)) };
 	}
 
-	/** @param sign -1 takes the work off */
+	/** @param sign -1 subtracts the work */
 	add(engine: EngineRef, change: WorkChange, sign = 1): void {
 		const sum = this.byEngine.get(engine) ?? emptyWork(engine);
 		sum.running += sign * (change.running ?? 0);
@@ -23,7 +23,7 @@
 		this.byEngine.set(engine, sum);
 	}
 
-	/** Engines that have work, each as a copy. */
+	/** Returns copies of the entries that have work. */
 	rows(): EngineWork[] {
 		const busy = [...this.byEngine.values()].filter(hasWork);
 		return busy.map((work) => ({ ...work }));
--- a/test/steps/relay-fakes.ts
+++ b/test/steps/relay-fakes.ts
@@ -1,5 +1,5 @@
 /**
- * A clock, routes, registrations and news for steps about single decisions of the relay.
+ * Fakes and builders for steps that test single decisions of the relay: clock, routes, registrations, gossip.
  * @module
  */
 import type { Log } from '../../src/core/definitions.js';
@@ -17,7 +17,7 @@
 
 export const silentLog: Log = { debug() {}, info() {}, warn() {}, error() {} };
 
-/** Numbers from 0 up to 1 that look random, the same on every run. */
+/** Returns a deterministic pseudo-random generator over [0, 1). */
 export function seededRandom(seed: number): () => number {
 	let state = seed;
 	return () => {
@@ -26,11 +26,11 @@
 	};
 }
 
-/** A clock that moves when the scenario says so. */
+/** A clock that a scenario advances explicitly. */
 export class ManualClock {
 	now = 1000;
 
-	/** Time for which the VM was suspended. */
+	/** Time for which the VM was suspended, which `monotonic` leaves out. */
 	suspendedMs = 0;
 
 	monotonic(): number {
@@ -46,32 +46,32 @@
 	}
 }
 
-/** A ledger in which no engine ended. */
+/** A ledger without crashes. */
 export function noCrashes(): CrashLedger {
 	return new CrashLedger({ clock: new ManualClock(), onChanged() {}, onLocalChange() {} });
 }
 
-/** No engine names a limit. */
+/** Limit gossip for a fleet without engine limits. */
 export const noLimitGossip: LimitGossip = {
 	getUpdatesToSend: () => [],
 	getIssuerToSend: () => undefined,
 	merge: () => false,
 };
 
-/** No engine fails. */
+/** Answer gossip for a fleet without failing engines. */
 export const noAnswerGossip: AnswerNews = { export: () => [], take: () => false, forget() {} };
 
-/** What a relayed request goes by where no engine fails. */
+/** Health of a fleet without failing engines. */
 export const alwaysHealthy: RelayContext['fleetHealth'] = {
 	admitted: (engines) => engines,
 	failed() {},
 	served() {},
 };
 
-/** What a request is placed by where no engine names a limit. */
+/** Permits of a placement without engine limits. */
 export const unlimited = { admits: () => true, isLimited: () => false };
 
-/** What a relayed request goes by there. */
+/** Limits of a relayed request without engine limits. */
 export const noRequestLimits = {
 	ledger: { getLimitPerS: () => undefined, recordLimit() {}, recordNoLimit() {} },
 } as unknown as RequestLimits;
@@ -117,7 +117,7 @@
 	return { id, address: `10.0.0.1:${id.length}`, slots, ...rest };
 }
 
-/** What an engine writes of itself. */
+/** Registration of an engine as written to the store. */
 export const registered = {
 	service: 'pool',
 	address: '10.0.0.1:80',
@@ -149,7 +149,7 @@
 	return new FleetView({ ...options, ...ports, storeStatus: () => undefined });
 }
 
-/** Every engine. */
+/** Range that covers every engine. */
 export const allEngines: EngineRange = { from: 0, to: 2 ** 32 };
 
 export function gossipMessage(part: Partial<GossipMessage>): GossipMessage {
@@ -175,7 +175,7 @@
 	};
 }
 
-/** What a peer tells about an engine, as that peer's own view encodes it. */
+/** Returns a peer's message about its requests at an engine. */
 export function workMessage(
 	world: FleetWorld,
 	engine: string,
--- a/test/steps/relay-fleet.steps.ts
+++ b/test/steps/relay-fleet.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about what VMs know of engines, of each other and of the store, without processes.
+ * Steps about the engine directory, the fleet view, the selection of store readers and gossip datagrams, without processes.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -43,21 +43,21 @@
 
 cucumber.Then(
 	/^with (\d+) VMs? heard and (\w+) read it is (.+)$/,
-	function (this: FleetWorld, heard: string, read: string, expected: string) {
-		const registered = read === 'none' ? undefined : Number(read);
+	function (this: FleetWorld, live: string, registered: string, expected: string) {
+		const registeredVms = registered === 'none' ? undefined : Number(registered);
 		const size = seen<FleetSize>(this, 'size');
-		const count = size.count(Number(heard), registered, clockOf(this).now);
+		const count = size.count(Number(live), registeredVms, clockOf(this).now);
 		assert.equal(count ?? 'not known', expected === 'not known' ? expected : Number(expected));
 	},
 );
 
-function directory(
+function newDirectory(
 	world: FleetWorld,
 	ids: string,
 	onGone: (engine: Engine) => void = () => {},
 	onChanged: () => void = () => {},
 ): EngineDirectory {
-	const made = new EngineDirectory({
+	const directory = new EngineDirectory({
 		clock: clockOf(world),
 		log: silentLog,
 		decode: platform.decodeEngine,
@@ -68,21 +68,21 @@
 		onChanged,
 	});
 	const items = ids.split(', ').map((id) => registration(id, 1));
-	made.applySnapshot(items, 0, 1);
-	return made;
+	directory.applySnapshot(items, 0, 1);
+	return directory;
 }
 
 cucumber.Given('a directory of engines {string}', function (this: FleetWorld, ids: string) {
-	this.seen.set('told', 0);
-	const onChanged = () => this.seen.set('told', seen<number>(this, 'told') + 1);
-	this.seen.set('directory', directory(this, ids, undefined, onChanged));
+	this.seen.set('notifications', 0);
+	const onChanged = () => this.seen.set('notifications', seen<number>(this, 'notifications') + 1);
+	this.seen.set('directory', newDirectory(this, ids, undefined, onChanged));
 });
 
-cucumber.Given('the fleet has {int} requests at {string}', fleetHas);
+cucumber.Given('the fleet has {int} requests at {string}', addFleetRequests);
 
-function fleetHas(this: FleetWorld, count: number, id: string): void {
+function addFleetRequests(this: FleetWorld, count: number, id: string): void {
 	const fleet = newFleetView(this);
-	const engines = directory(this, 'a, b', (engine) => fleet.removeEngine(engine.key));
+	const engines = newDirectory(this, 'a, b', (engine) => fleet.removeEngine(engine.key));
 	const [engine] = engines.offered('pool').filter((one) => one.id === id);
 	assert.ok(engine);
 	fleet.receive(workMessage(this, engine.key, count, { seq: 1 }));
@@ -120,8 +120,8 @@
 	},
 );
 
-/** What another writer may leave where an engine's registration is expected. */
-const foreignText = fc.oneof(
+/** Arbitrary and malformed values under the key of an engine's registration. */
+const invalidRegistration = fc.oneof(
 	fc.string(),
 	fc.json(),
 	fc
@@ -130,7 +130,7 @@
 			fc.oneof(fc.constant(undefined), fc.constant(null), fc.constant([]), fc.object()),
 		)
 		.map(([field, value]) => JSON.stringify({ ...registered, [field]: value }))
-		// An engine need not tell when it began.
+		// `born` is optional, so a registration without it is valid.
 		.filter((text) => JSON.parse(text).born !== undefined),
 	fc
 		.constantFrom(
@@ -149,13 +149,13 @@
 	'whatever another writer leaves under {string}, engines {string} are offered',
 	function (this: FleetWorld, id: string, ids: string) {
 		fc.assert(
-			fc.property(foreignText, (value) => {
-				const engines = directory(this, 'a, b, c');
+			fc.property(invalidRegistration, (value) => {
+				const engines = newDirectory(this, 'a, b, c');
 				const item = { ...registration(id, 2), value };
 				engines.applyChanges({ events: [{ kind: 'put' as const, item }], revision: 2 });
 				const offered = engines.offered('pool').map((engine) => engine.id);
 				assert.equal(offered.join(', '), ids);
-				const peer = directory(this, 'd');
+				const peer = newDirectory(this, 'd');
 				assert.ok(peer.takeCopy(engines.export(0)));
 				assert.equal(peer.digest, engines.digest);
 			}),
@@ -166,7 +166,7 @@
 
 cucumber.Given('a peer with the same directory', function (this: FleetWorld) {
 	const ids = seen<EngineDirectory>(this, 'directory').offered('pool');
-	this.seen.set('peer', directory(this, ids.map((engine) => engine.id).join(', ')));
+	this.seen.set('peer', newDirectory(this, ids.map((engine) => engine.id).join(', ')));
 });
 
 cucumber.When(
@@ -198,8 +198,8 @@
 
 cucumber.When('each engine writes its registration again', function (this: FleetWorld) {
 	const own = seen<EngineDirectory>(this, 'directory');
-	const events = own.offered('pool').map(({ id }, at) => {
-		return { kind: 'put' as const, item: registration(id, 2 + at, { sequence: 7 + at }) };
+	const events = own.offered('pool').map(({ id }, index) => {
+		return { kind: 'put' as const, item: registration(id, 2 + index, { sequence: 7 + index }) };
 	});
 	own.applyChanges({ events, revision: 1 + events.length });
 });
@@ -217,14 +217,14 @@
 	const own = seen<EngineDirectory>(this, 'directory');
 	assert.ok(own.revision > 1);
 	assert.equal(seen<EngineDirectory>(this, 'peer').digest, own.digest);
-	assert.equal(seen<number>(this, 'told'), 0);
+	assert.equal(seen<number>(this, 'notifications'), 0);
 });
 
 cucumber.Then('the peer has something to fetch, and it was told', function (this: FleetWorld) {
 	const own = seen<EngineDirectory>(this, 'directory');
 	const peer = seen<EngineDirectory>(this, 'peer');
 	assert.notEqual(peer.digest, own.digest);
-	assert.equal(seen<number>(this, 'told'), 1);
+	assert.equal(seen<number>(this, 'notifications'), 1);
 	assert.ok(peer.takeCopy(own.export(peer.revision)));
 	assert.equal(peer.digest, own.digest);
 });
@@ -233,22 +233,22 @@
 	'a reader of the store whose revision alone rose is no news, but one of another era is',
 	function (this: FleetWorld) {
 		const readers = new StoreReaders();
-		const hear = (revision: number, digest = 5) => {
+		const mergeReader = (revision: number, digest = 5) => {
 			const reader = { address: '10.0.0.2:1', contactAgeMs: 0, revision, digest, dutyToken: 0 };
 			return readers.merge(reader, true, clockOf(this).now);
 		};
-		assert.ok(hear(revisionIn(1, 10)));
-		assert.equal(hear(revisionIn(1, 20)), false);
-		assert.ok(hear(revisionIn(1, 20), 6));
-		assert.ok(hear(revisionIn(2, 3), 6));
-		// What is passed on names the newest revision all the same.
+		assert.ok(mergeReader(revisionIn(1, 10)));
+		assert.equal(mergeReader(revisionIn(1, 20)), false);
+		assert.ok(mergeReader(revisionIn(1, 20), 6));
+		assert.ok(mergeReader(revisionIn(2, 3), 6));
+		// Gossip contains the newest revision regardless.
 		assert.equal(readers.all(clockOf(this).now)[0]?.revision, revisionIn(2, 3));
 	},
 );
 
 cucumber.Then('a peer that knows no engines asks for all of them', function (this: FleetWorld) {
 	const own = seen<EngineDirectory>(this, 'directory');
-	const peer = directory(this, 'z');
+	const peer = newDirectory(this, 'z');
 	assert.equal(peer.takeCopy(own.export(own.revision)), false);
 	assert.ok(peer.takeCopy(own.export(0)));
 	assert.equal(peer.digest, own.digest);
@@ -289,7 +289,7 @@
 });
 
 cucumber.Given('a fleet of {int} VMs', function (this: FleetWorld, size: number) {
-	const names = Array.from({ length: size }, (_, at) => `vm-${at + 1}`);
+	const names = Array.from({ length: size }, (_, index) => `vm-${index + 1}`);
 	this.seen.set('names', names);
 	this.seen.set(
 		'selections',
@@ -297,13 +297,18 @@
 	);
 });
 
-/** Updates all selections for a while, each 100 ms. */
-function read(world: FleetWorld, freshReaders: number, ms: number, heardVms?: number): void {
+/** Updates all selections every 100 ms for a time. */
+function runSelections(
+	world: FleetWorld,
+	freshReaders: number,
+	ms: number,
+	liveVms?: number,
+): void {
 	const names = seen<string[]>(world, 'names');
 	for (const until = clockOf(world).now + ms; clockOf(world).now < until; ) {
 		clockOf(world).now += 100;
 		for (const selection of seen<ReaderSelection[]>(world, 'selections')) {
-			selection.update({ names, freshReaders, liveVms: heardVms }, clockOf(world).now);
+			selection.update({ names, freshReaders, liveVms }, clockOf(world).now);
 		}
 	}
 }
@@ -311,18 +316,18 @@
 cucumber.When(
 	'{int} of their peers read the store for {int} ms',
 	function (this: FleetWorld, freshReaders: number, ms: number) {
-		read(this, freshReaders, ms);
+		runSelections(this, freshReaders, ms);
 	},
 );
 
 cucumber.When(
 	'{int} of their peers read the store for {int} ms, and all hear each other',
 	function (this: FleetWorld, freshReaders: number, ms: number) {
-		read(this, freshReaders, ms, seen<string[]>(this, 'names').length);
+		runSelections(this, freshReaders, ms, seen<string[]>(this, 'names').length);
 	},
 );
 
-/** A busy store takes so long to refuse a call, in milliseconds. */
+/** Time that a busy store takes to refuse a call. */
 const refusalMs = 80;
 
 cucumber.Given('a follower of a store that refuses every call', function (this: FleetWorld) {
@@ -381,9 +386,9 @@
 
 cucumber.Then(
 	'it has called the store at most {int} times',
-	function (this: FleetWorld, most: number) {
+	function (this: FleetWorld, maxCalls: number) {
 		const calls = seen<FollowerFixture>(this, 'follower').calls();
-		assert.ok(calls >= 5 && calls <= most, `${calls} calls`);
+		assert.ok(calls >= 5 && calls <= maxCalls, `${calls} calls`);
 	},
 );
 
@@ -443,23 +448,23 @@
 
 cucumber.Given('news of work, reads, demand and costs', function (this: FleetWorld) {
 	const work = [{ engine: 4_000_000_000, running: 3, promptTokens: 7000 }];
-	const reads = [{ part: 1, engine: 2, isDone: true }];
+	const cacheUpdates = [{ segment: 1, engine: 2, isPrefilled: true }];
 	const store = { contactAgeMs: 250, revision: 12_345, digest: 77, dutyToken: 12_001 };
-	const readers = [{ address: '10.0.0.3:1', ...store }];
+	const storeReaders = [{ address: '10.0.0.3:1', ...store }];
 	const engines = { from: 3_000_000_000, to: 2 ** 32 };
-	const heard = [{ vm: 4_000_000_001, seq: 70_000 }];
+	const reportAcks = [{ vm: 4_000_000_001, seq: 70_000 }];
 	const line = { weight: 12.5, x: 4000, y: 130.25, xx: 9_000_000, xy: 800_000 };
 	const pauses = { eventMs: 17.5, eventWeight: 100, events: 900, expectedTokens: 4000 };
 	const costs = [{ service: 3_000_000_000, reading: line, copying: line, ...pauses }];
 	const demand = { long: 1.25, short: 0.5 };
 	const pace = { reading: { weight: 2, sum: 1 }, steps: { weight: 0.5, sum: -0.25 } };
-	const told = gossipMessage({
+	const message = gossipMessage({
 		kind: 'fleet',
 		work,
-		cacheUpdates: reads,
+		cacheUpdates,
 		demand,
-		storeReaders: readers,
-		reportAcks: heard,
+		storeReaders,
+		reportAcks,
 		engines,
 		vmCount: 195,
 		costs,
@@ -471,19 +476,19 @@
 		],
 		issuer: { address: '10.0.0.3:1', term: 4, heartbeatSeq: 1200, isResigned: false },
 	});
-	this.seen.set('news', told);
+	this.seen.set('message', message);
 });
 
 cucumber.Then('they are the same after encoding and decoding', function (this: FleetWorld) {
-	const told = seen<GossipMessage>(this, 'news');
-	assert.deepEqual(datagrams.newsIn(encodeNews(told)), told);
+	const message = seen<GossipMessage>(this, 'message');
+	assert.deepEqual(datagrams.newsIn(encodeNews(message)), message);
 });
 
 cucumber.Then('a closed sender of datagrams passes over them', async function (this: FleetWorld) {
 	const sender = new datagrams.PeerDatagrams(silentLog, noListener);
 	await sender.bind({ host: '127.0.0.1', port: 0 });
 	sender.close();
-	sender.sendNews([{ host: '127.0.0.1', port: 9 }], seen<GossipMessage>(this, 'news'));
+	sender.sendNews([{ host: '127.0.0.1', port: 9 }], seen<GossipMessage>(this, 'message'));
 });
 
 const noListener: datagrams.PeerListener = {
@@ -502,31 +507,31 @@
 	);
 });
 
-/** All places in nested lists, each as the way to it. */
-function placesOf(row: readonly unknown[], way: readonly number[] = []): number[][] {
-	return row.flatMap((value, at) => {
-		const place = [...way, at];
-		return [place, ...(Array.isArray(value) ? placesOf(value, place) : [])];
+/** Returns the index paths of all values in nested arrays. */
+function pathsOf(row: readonly unknown[], parent: readonly number[] = []): number[][] {
+	return row.flatMap((value, index) => {
+		const path = [...parent, index];
+		return [path, ...(Array.isArray(value) ? pathsOf(value, path) : [])];
 	});
 }
 
-function replaceAt(
+function replaceValue(
 	row: unknown[],
-	[at = 0, ...rest]: readonly number[],
+	[index = 0, ...rest]: readonly number[],
 	value: unknown,
 ): unknown[] {
 	const copy = [...row];
-	copy[at] = rest.length > 0 ? replaceAt(row[at] as unknown[], rest, value) : value;
+	copy[index] = rest.length > 0 ? replaceValue(row[index] as unknown[], rest, value) : value;
 	return copy;
 }
 
 cucumber.Then(
 	'a datagram of them with any field of another type is refused',
 	function (this: FleetWorld) {
-		const row = msgpack.decode(encodeNews(seen<GossipMessage>(this, 'news'))) as unknown[];
-		for (const place of placesOf(row)) {
-			const bytes = msgpack.encode(replaceAt(row, place, { of: 'another type' }));
-			assert.equal(datagrams.hand(bytes, noListener), false, place.join('.'));
+		const row = msgpack.decode(encodeNews(seen<GossipMessage>(this, 'message'))) as unknown[];
+		for (const path of pathsOf(row)) {
+			const bytes = msgpack.encode(replaceValue(row, path, { of: 'another type' }));
+			assert.equal(datagrams.hand(bytes, noListener), false, path.join('.'));
 		}
 	},
 );
@@ -535,10 +540,10 @@
 	/^an ask for a permit whose (from|urgency|waitMs) is (\S+)$/,
 	function (this: FleetWorld, field: string, value: string) {
 		const limit = { engine: 1, limitPerS: 3, version: 1 };
-		const right = { from: '10.0.0.1:7000', id: 1, limit, urgency: 0, waitMs: 30 };
-		assert.ok(datagrams.hand(encodePermitAsk(right), noListener));
+		const valid = { from: '10.0.0.1:7000', id: 1, limit, urgency: 0, waitMs: 30 };
+		assert.ok(datagrams.hand(encodePermitAsk(valid), noListener));
 		const part = { [field]: field === 'from' ? value : Number(value) };
-		this.seen.set('datagram', encodePermitAsk({ ...right, ...part }));
+		this.seen.set('datagram', encodePermitAsk({ ...valid, ...part }));
 	},
 );
 
--- a/test/steps/relay-vms.steps.ts
+++ b/test/steps/relay-vms.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about the life of relay daemons: start, settings, what the store tells them, their end.
+ * Steps about the lifecycle of relay daemons: start, settings, data from the store, shutdown.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -12,10 +12,10 @@
 import { freePorts, key as permanentKey, until } from './relay-world.js';
 import type { FleetWorld } from './world.js';
 
-/** How the platform starts the daemon. */
-const deployed = 'deploy/start.cjs';
+/** Entry point with which the platform starts the daemon. */
+const entryPoint = 'deploy/start.cjs';
 const loadedModules = './test/stand-ins/loaded-modules.cjs';
-const example = 'deploy/settings-example.json';
+const exampleSettings = 'deploy/settings-example.json';
 const run = util.promisify(childProcess.execFile);
 
 cucumber.Given('the bundle of the daemon', async () => {
@@ -25,7 +25,7 @@
 });
 
 cucumber.Then('it finds nothing wrong with the example of settings', async () => {
-	const { stdout, stderr } = await run(process.execPath, [deployed, example, '--check']);
+	const { stdout, stderr } = await run(process.execPath, [entryPoint, exampleSettings, '--check']);
 	assert.match(stdout, /no findings/);
 	assert.equal(stderr, '');
 });
@@ -34,8 +34,8 @@
 	const { stderr } = await run(process.execPath, [
 		'--require',
 		loadedModules,
-		deployed,
-		example,
+		entryPoint,
+		exampleSettings,
 		'--check',
 	]);
 	const loaded = stderr.split(',');
@@ -48,7 +48,7 @@
 cucumber.Given(
 	/^a relay of (\d+) VMs? from the bundle with engines "(.*)"$/,
 	async function (this: FleetWorld, vms: string, engines: string) {
-		fixtureOf(this).program = deployed;
+		fixtureOf(this).program = entryPoint;
 		await fixtureOf(this).start(Number(vms), engines.split(', '));
 	},
 );
@@ -74,7 +74,7 @@
 		store.remove(`servers/${id}`);
 		store.compact();
 		store.failWith = undefined;
-		// An outage may have cost the registration: the engine stays usable for two seconds.
+		// The engine stays usable for two seconds, since an outage may have removed its registration.
 		await new Promise((done) => setTimeout(done, 3000));
 	},
 );
@@ -151,7 +151,7 @@
 		const fixture = fixtureOf(this);
 		await new Promise((done) => setTimeout(done, ms));
 		const before = engineOf(this, id).seen.length;
-		for (let at = 0; at < 10; at++) {
+		for (let sent = 0; sent < 10; sent++) {
 			const answer = await fixture.send('GET /plain/', '', { vm: fixture.vms[vm - 1] });
 			assert.equal(answer.status, 200);
 		}
@@ -254,16 +254,16 @@
 	},
 );
 
-/** Ends the first VM's process and waits for its end. */
-async function end(world: FleetWorld, signal: NodeJS.Signals): Promise<void> {
-	// A VM may be ready a few calls before it is registered.
+/** Sends a signal to the first VM's process and waits until it exits. */
+async function stopProcess(world: FleetWorld, signal: NodeJS.Signals): Promise<void> {
+	// A VM may become ready shortly before it is registered.
 	await until(() => (fixtureOf(world).store.calls.get('/kv-txn') ?? 0) > 0);
 	firstVm(world).process.kill(signal);
 	await firstVm(world).ended;
 }
 
-/** Starts a process in the place of the first VM's. */
-async function startAgain(world: FleetWorld): Promise<void> {
+/** Starts a new process with the first VM's address and ports. */
+async function restart(world: FleetWorld): Promise<void> {
 	const fixture = fixtureOf(world);
 	const { address, ports } = firstVm(world);
 	fixture.vms[0] = await fixture.startVm(address, 'vm-1', ports);
@@ -272,17 +272,17 @@
 cucumber.When(
 	/^its process (is killed|stops as planned) and is started again$/,
 	async function (this: FleetWorld, how: string) {
-		await end(this, how === 'is killed' ? 'SIGKILL' : 'SIGTERM');
-		await startAgain(this);
+		await stopProcess(this, how === 'is killed' ? 'SIGKILL' : 'SIGTERM');
+		await restart(this);
 	},
 );
 
 cucumber.When(
 	'its process is killed, its lease ends and it is started again',
 	async function (this: FleetWorld) {
-		await end(this, 'SIGKILL');
+		await stopProcess(this, 'SIGKILL');
 		fixtureOf(this).store.endLeases();
-		await startAgain(this);
+		await restart(this);
 	},
 );
 
@@ -290,7 +290,7 @@
 	/^the store granted (\d+) leases? and took (\d+) writes?$/,
 	async function (this: FleetWorld, leases: string, writes: string) {
 		const { calls } = fixtureOf(this).store;
-		// A second registration would come within a few calls of the readiness.
+		// A second registration would follow shortly after the VM becomes ready.
 		await new Promise((done) => setTimeout(done, 300));
 		assert.equal(calls.get('/kv-lease'), Number(leases));
 		assert.equal(calls.get('/kv-txn'), Number(writes));
--- a/test/steps/simulated-fleet.ts
+++ b/test/steps/simulated-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Many VMs that tell each other news in one process: simulated time, and a network that delays, loses, doubles and
- * cuts datagrams.
+ * Simulates the gossip of many VMs in one process, with simulated time and a network that delays, loses, duplicates and
+ * partitions datagrams.
  * @module
  */
 import { CostModel } from '../../src/core/engines/cost-model.js';
@@ -21,11 +21,11 @@
 
 const stepMs = 5;
 const updateMs = 100;
-/** Payload that fits a usual path without fragments. */
-const mostBytes = 1400;
+/** Payload that fits a typical path MTU without fragmentation. */
+const maxPayloadBytes = 1400;
 
 interface Datagram {
-	at: number;
+	arrivesAt: number;
 	from: string;
 	to: string;
 	bytes: Uint8Array;
@@ -34,7 +34,7 @@
 export interface SimulatedVm {
 	registration: RegisteredVm;
 	isRunning: boolean;
-	/** Side of a cut: VMs of different sides do not hear each other. */
+	/** Side of a network partition; VMs on different sides cannot reach each other. */
 	side: number;
 	fleet: FleetView;
 	exchange: GossipExchange;
@@ -55,30 +55,35 @@
 export class SimulatedFleet {
 	readonly clock = new ManualClock();
 	readonly vms: SimulatedVm[] = [];
-	/** Shares of datagrams that are lost, and that come twice. */
+	/** Shares of datagrams that are lost, and that are delivered twice. */
 	lossRate = 0;
 	duplicationRate = 0;
 	private readonly byAddress = new Map<string, SimulatedVm>();
-	private flying: Datagram[] = [];
+	private inFlight: Datagram[] = [];
 	private readonly next: () => number;
-	private lives = 0;
+	private lastIncarnation = 0;
 
 	constructor(count: number, domains: number, seed = 1) {
 		this.next = seededRandom(seed);
-		for (let at = 0; at < count; at++) {
-			const address = { host: `10.${at % domains}.0.${at}`, port: 7000 };
-			const cores = at < domains * 2 ? 1.35 : 0.324;
-			const listed = { name: `vm-${at}`, domain: `domain-${at % domains}`, address, cores };
-			const vm = { registration: listed, side: 0 } as SimulatedVm;
+		for (let index = 0; index < count; index++) {
+			const address = { host: `10.${index % domains}.0.${index}`, port: 7000 };
+			const cores = index < domains * 2 ? 1.35 : 0.324;
+			const registration = {
+				name: `vm-${index}`,
+				domain: `domain-${index % domains}`,
+				address,
+				cores,
+			};
+			const vm = { registration, side: 0 } as SimulatedVm;
 			this.vms.push(vm);
 			this.byAddress.set(addressOf(address), vm);
 			this.start(vm);
 		}
 	}
 
-	/** Starts a VM's process, or starts it anew. */
+	/** Starts or restarts a VM's process. */
 	start(vm: SimulatedVm): void {
-		const { registration: listed } = vm;
+		const { registration } = vm;
 		const costs = new CostModel();
 		const onNews = () => vm.exchange.markChanged();
 		const isPortClosed = async () => false;
@@ -90,9 +95,9 @@
 			clock: this.clock,
 			log: silentLog,
 			random: { next: this.next, hex: () => '' },
-			ownAddress: addressOf(listed.address),
+			ownAddress: addressOf(registration.address),
 			engineId: () => undefined,
-			getRank: (without) => issuerRank(listed, others(), without),
+			getRank: (without) => issuerRank(registration, others(), without),
 			heardVms: () => fleet.size,
 			vms: () => this.vms.length,
 			sendPermitRequest: (to, ask) => this.sendBytes(vm, to, encodePermitAsk(ask)),
@@ -109,11 +114,11 @@
 			engineId: () => undefined,
 		});
 		const fleet = new FleetView({
-			self: listed.name,
-			address: addressOf(listed.address),
+			self: registration.name,
+			address: addressOf(registration.address),
 			clock: this.clock,
 			log: silentLog,
-			incarnation: ++this.lives,
+			incarnation: ++this.lastIncarnation,
 			costs,
 			answers: health,
 			onNewerConfiguration: (_, version) => {
@@ -130,11 +135,11 @@
 			clock: this.clock,
 			log: silentLog,
 			fleet,
-			selection: new AggregatorSelection(listed),
-			self: listed.address,
+			selection: new AggregatorSelection(registration),
+			self: registration.address,
 			otherVms: others,
 			seeds: () => [],
-			send: (to, news) => this.send(vm, to, news),
+			send: (to, message) => this.send(vm, to, message),
 		});
 		Object.assign(vm, {
 			isRunning: true,
@@ -158,7 +163,7 @@
 		vm.isRunning = false;
 	}
 
-	/** Requests begin at an engine, or end when negative. */
+	/** Adds running requests at an engine; a negative number ends some. */
 	addRequests(vm: SimulatedVm, engine: string, running: number): void {
 		vm.work.set(engine, (vm.work.get(engine) ?? 0) + running);
 		vm.fleet.changeWork(engine, { running, promptTokens: running * 100 });
@@ -187,18 +192,18 @@
 		return this.vms.filter((vm) => vm.isRunning);
 	}
 
-	/** Requests that VMs of one side have at an engine. */
+	/** Returns the running requests at an engine of the VMs on one side. */
 	runningAt(engine: string, side: number): number {
 		const all = this.running.filter((vm) => vm.side === side);
 		return all.reduce((sum, vm) => sum + (vm.work.get(engine) ?? 0), 0);
 	}
 
-	/** VMs that think of another number of requests at an engine than there are on their side. */
+	/** Returns the VMs whose view of an engine's requests differs from the actual number on their side. */
 	findMismatches(engine: string): string[] {
-		const wrong = this.running.filter((vm) => {
+		const mismatches = this.running.filter((vm) => {
 			return vm.fleet.workAt(engine).running !== this.runningAt(engine, vm.side);
 		});
-		return wrong.map((vm) => `${vm.registration.name}: ${vm.fleet.workAt(engine).running}`);
+		return mismatches.map((vm) => `${vm.registration.name}: ${vm.fleet.workAt(engine).running}`);
 	}
 
 	resetCounts(): void {
@@ -207,10 +212,12 @@
 		}
 	}
 
-	private send(from: SimulatedVm, to: readonly HostPort[], news: GossipMessage): void {
-		const bytes = encodeNews(news);
-		if (bytes.length > mostBytes) {
-			throw new Error(`${news.kind} of ${bytes.length} bytes`);
+	private send(from: SimulatedVm, to: readonly HostPort[], message: GossipMessage): void {
+		const bytes = encodeNews(message);
+		if (bytes.length > maxPayloadBytes) {
+			throw new Error(
+				`datagram of kind ${message.kind} has ${bytes.length} bytes, more than ${maxPayloadBytes}`,
+			);
 		}
 		for (const address of to) {
 			this.sendBytes(from, addressOf(address), bytes);
@@ -222,21 +229,21 @@
 		from.sentBytes += bytes.length;
 		const copies = this.next() < this.lossRate ? 0 : this.next() < this.duplicationRate ? 2 : 1;
 		for (let copy = 0; copy < copies; copy++) {
-			const at = this.clock.now + 0.5 + this.next() * 8;
-			this.flying.push({ at, from: addressOf(from.registration.address), to, bytes });
+			const arrivesAt = this.clock.now + 0.5 + this.next() * 8;
+			this.inFlight.push({ arrivesAt, from: addressOf(from.registration.address), to, bytes });
 		}
 	}
 
 	private deliver(): void {
-		const due = this.flying.filter(({ at }) => at <= this.clock.now);
-		this.flying = this.flying.filter(({ at }) => at > this.clock.now);
-		for (const { from, to, bytes } of due.sort((a, b) => a.at - b.at)) {
+		const due = this.inFlight.filter(({ arrivesAt }) => arrivesAt <= this.clock.now);
+		this.inFlight = this.inFlight.filter(({ arrivesAt }) => arrivesAt > this.clock.now);
+		for (const { from, to, bytes } of due.sort((a, b) => a.arrivesAt - b.arrivesAt)) {
 			const vm = this.byAddress.get(to);
-			const isCut = vm?.side !== this.byAddress.get(from)?.side;
-			if (vm?.isRunning && !isCut) {
+			const isPartitioned = vm?.side !== this.byAddress.get(from)?.side;
+			if (vm?.isRunning && !isPartitioned) {
 				vm.received++;
 				hand(bytes, {
-					news: (news) => vm.exchange.receive(news),
+					news: (message) => vm.exchange.receive(message),
 					usage() {},
 					usageTaken() {},
 					permitAsk: (ask) => vm.limits.handlePermitRequest(ask),
