--- a/src/core/relay/answer-relay.ts
+++ b/src/core/relay/answer-relay.ts
@@ -1,40 +1,40 @@
 /**
- * Passes an engine's answer on to the caller: events as they come, other answers whole, so that a broken one can be asked again.
+ * Forwards an engine's answer to the caller: streams event by event, other answers whole, so that a broken one can be retried.
  * @module
  */
 import type { Attempt } from './attempt.js';
 import type { CallerAnswer } from './caller-answer.js';
 import type { AnswerHead } from './definitions.js';
 
-/** A whole answer is held up to this size, in bytes. */
-const maxHeldAnswer = 256 * 1024;
+/** Larger answers are streamed to the caller instead of buffered. */
+const maxBufferedBytes = 256 * 1024;
 
 export class AnswerRelay {
-	/** @param lastEventId the last event that the caller has; a further engine goes on behind it */
+	/** @param lastEventId last event that the caller received; another engine resumes the stream after it */
 	constructor(
 		private readonly answer: CallerAnswer,
 		public lastEventId: string | undefined,
 	) {}
 
-	/** @param isStream whether the answer is made of events */
+	/** @param isStream whether the answer is an event stream */
 	relayData(attempt: Attempt, chunk: Buffer, isStream: boolean): void {
 		if (isStream) {
-			this.eventsCame(attempt, chunk);
+			this.relayEvents(attempt, chunk);
 			return;
 		}
 		attempt.buffer(chunk);
-		if (attempt.bufferedBytes > maxHeldAnswer) {
-			this.flushHeld(attempt);
+		if (attempt.bufferedBytes > maxBufferedBytes) {
+			this.flushBuffered(attempt);
 		}
 	}
 
-	/** The whole answer came, or the rest of it. */
+	/** Ends the answer with what is still buffered. */
 	end(attempt: Attempt, head: AnswerHead): void {
 		this.answer.writeHead(head);
 		this.answer.end(Buffer.concat(attempt.buffered));
 	}
 
-	private eventsCame(attempt: Attempt, chunk: Buffer): void {
+	private relayEvents(attempt: Attempt, chunk: Buffer): void {
 		const events = attempt.splitter.feed(chunk);
 		if (!events) {
 			return;
@@ -45,8 +45,8 @@
 		this.write(attempt, events.bytes);
 	}
 
-	/** A large answer is passed on as it comes; it can no longer be asked again. */
-	private flushHeld(attempt: Attempt): void {
+	/** Switches to streaming; the answer can no longer be retried. */
+	private flushBuffered(attempt: Attempt): void {
 		this.answer.writeHead(attempt.head as AnswerHead);
 		for (const chunk of attempt.buffered) {
 			this.write(attempt, chunk);
--- a/src/core/relay/apply-engine-notice.ts
+++ b/src/core/relay/apply-engine-notice.ts
@@ -1,6 +1,6 @@
 /**
- * Takes in what the head of an answer says of its engine, whoever still waits for the answer: that it leaves, wants rest, or how many
- * requests a second it takes from all VMs together.
+ * Applies the engine notice in the head of an answer: draining, back-off or a request limit. It counts even when nobody waits for the
+ * answer any more.
  * @module
  */
 import type { Attempt } from './attempt.js';
@@ -21,7 +21,7 @@
 	}
 	const { engine } = attempt;
 	const { notice, status } = head;
-	takeLimit(ctx, attempt, head, requestId);
+	applyLimit(ctx, attempt, head, requestId);
 	if (engine.notices.heard(notice, ctx.clock.sinceBoot())) {
 		const { leaving, restS, limitPerS } = notice;
 		outcome.log('engine.notice', {
@@ -35,10 +35,9 @@
 }
 
 /**
- * Only a success that is surely the engine's own says by its silence that a limit is over: an engine that turns requests away, or fails, may
- * leave the limit out while it is most in need.
+ * Only a signed success without a limit clears the limit: an engine that rejects requests or fails may omit it while it is overloaded.
  */
-function takeLimit(
+function applyLimit(
 	{ limits }: RelayContext,
 	{ engine, sentAt }: Attempt,
 	head: AnswerHead,
--- a/src/core/relay/attempt-results.ts
+++ b/src/core/relay/attempt-results.ts
@@ -1,5 +1,5 @@
 /**
- * What failed attempts of one request say of their engines: their health, and whether the request itself may have ended them.
+ * Records the results of one request's attempts: engine health, circuit breakers, and whether the request may have crashed engines.
  * @module
  */
 import { formatContentHash } from '../quarantine/content-hash.js';
@@ -15,47 +15,47 @@
 		private readonly suspicion: RequestQuarantine,
 	) {}
 
-	/** The engine had the request and did not answer it as it should. */
+	/** The engine received the request and did not answer it properly. */
 	recordFailure({ engine }: Attempt, reason: string): void {
 		this.ctx.fleetHealth.failed(engine);
 		if (engine.health.failed(this.ctx.clock.monotonic())) {
-			this.closed(engine.id, reason);
+			this.recordCircuitOpened(engine.id, reason);
 		}
 	}
 
-	/** Nothing of the request reached it. */
+	/** Nothing of the request reached the engine. */
 	recordUnreachable({ engine }: Attempt, reason: string): void {
 		this.ctx.fleetHealth.failed(engine);
 		if (engine.health.unreachable(this.ctx.clock.monotonic())) {
-			this.closed(engine.id, reason);
+			this.recordCircuitOpened(engine.id, reason);
 		}
 	}
 
-	/** The engine answered it to the end. */
+	/** The engine answered completely. */
 	recordSuccess({ engine }: Attempt): void {
 		engine.health.succeeded();
 		this.ctx.fleetHealth.served(engine);
 	}
 
-	/** Nothing listens at its address, or another engine does. */
+	/** Nothing listens at the engine's address, or another engine does. */
 	recordEngineExit({ engine }: Attempt): void {
 		this.ctx.quarantine.recordEngineCrash(engine.ref);
 	}
 
-	/** The engine may have ended under this request. */
+	/** The engine may have crashed while it ran this request. */
 	recordBrokenAttempt(attempt: Attempt, reason: string): void {
 		this.suspicion.recordFailure(attempt);
-		const { sinceSentMs: sentMs, sinceFirstEventMs: runningMs } = attempt;
+		const { sinceSentMs, sinceFirstEventMs } = attempt;
 		this.outcome.log('request.broken', {
 			engine: attempt.engine.id,
 			reason,
 			content: formatContentHash(this.suspicion.content),
-			sent_ms: Math.round(sentMs),
-			running_ms: runningMs === undefined ? undefined : Math.round(runningMs),
+			sent_ms: Math.round(sinceSentMs),
+			running_ms: sinceFirstEventMs === undefined ? undefined : Math.round(sinceFirstEventMs),
 		});
 	}
 
-	private closed(engine: string, reason: string): void {
+	private recordCircuitOpened(engine: string, reason: string): void {
 		this.ctx.metrics.recordCircuitOpened();
 		this.outcome.log('engine.closed', { engine, reason }, 'warn');
 	}
--- a/src/core/relay/attempt.ts
+++ b/src/core/relay/attempt.ts
@@ -1,6 +1,5 @@
 /**
- * One send of a request to one engine: what came of its answer, and what it adds to the work that
- * the fleet knows of at that engine.
+ * One attempt to run a request on one engine: tracks its answer and its share of the engine's work as shared with the fleet.
  * @module
  */
 import { CalmPauses } from '../engines/calm-pauses.js';
@@ -16,83 +15,82 @@
 	readonly splitter = new EventSplitter();
 	call?: RunningCall;
 	head?: AnswerHead;
-	/** Body of a whole answer so far. */
+	/** Body received so far of an answer that is not a stream. */
 	buffered: Buffer[] = [];
 	bufferedBytes = 0;
 	private wasSent = false;
 	/** Monotonic milliseconds. */
-	private leftAt = 0;
+	private sentTime = 0;
 	private firstEventAt?: number;
 	private lastEventAt = 0;
 	private events = 0;
 	private readonly calmPauses = new CalmPauses();
-	private hasStarted = false;
-	/** Parts of the prompt that other requests may share. */
-	private shared: readonly PromptSegment[] = [];
+	private isPromptRead = false;
+	/** Prompt segments that other requests may share. */
+	private sharedSegments: readonly PromptSegment[] = [];
 	private hasEnded = false;
-	private hasBegun = false;
+	private isStartCounted = false;
 
 	constructor(
 		private readonly ctx: RelayContext,
 		private readonly placement: Placement,
 		private readonly service: string,
-		/** Whose requests that begin to run are counted. */
+		/** Customer whose started requests are counted. */
 		private readonly customer?: string,
 	) {
 		this.engine = placement.engine;
 	}
 
-	/** Bytes of the request left: it may run. */
+	/** Whether bytes of the request were sent, so that the engine may run it. */
 	get isSent(): boolean {
 		return this.wasSent;
 	}
 
-	/** When it was sent, in monotonic milliseconds. */
+	/** Monotonic milliseconds. */
 	get sentAt(): number {
-		return this.leftAt;
+		return this.sentTime;
 	}
 
-	/** Milliseconds since it was sent. */
 	get sinceSentMs(): number {
-		return this.ctx.clock.monotonic() - this.leftAt;
+		return this.ctx.clock.monotonic() - this.sentTime;
 	}
 
-	/** Milliseconds since its first event; undefined before that came. */
+	/** Undefined before the first event. */
 	get sinceFirstEventMs(): number | undefined {
 		const { firstEventAt } = this;
 		return firstEventAt === undefined ? undefined : this.ctx.clock.monotonic() - firstEventAt;
 	}
 
-	/** The engine works on it, yet nothing at all was heard from that engine for too long. */
+	/** Whether the request was sent and its engine has sent nothing at all for too long. */
 	isSilent(now: number): boolean {
 		return this.wasSent && this.engine.health.isSilent(now);
 	}
 
-	/** @param shared parts of the prompt that other requests may share */
-	markSent(shared: readonly PromptSegment[]): void {
+	/** @param sharedSegments prompt segments that other requests may share */
+	markSent(sharedSegments: readonly PromptSegment[]): void {
 		const { promptTokens, readingMs } = this.placement;
 		this.wasSent = true;
-		this.leftAt = this.ctx.clock.monotonic();
-		this.engine.health.sent(this.leftAt, readingMs);
+		this.sentTime = this.ctx.clock.monotonic();
+		this.engine.health.sent(this.sentTime, readingMs);
 		this.changeWork({ running: 1, promptTokens });
-		this.shared = shared;
-		this.ctx.fleet.recordPrefill(shared, this.engine.key, false);
+		this.sharedSegments = sharedSegments;
+		this.ctx.fleet.recordPrefill(sharedSegments, this.engine.key, false);
 		this.ctx.onWorkChanged();
 	}
 
-	/** The engine works on it, or did: counted once. */
+	/** Counts the request as started now, unless it was counted before. */
 	countStartedNow(): void {
-		this.began(0);
+		this.countStarted(0);
 	}
 
-	/** The same, for what does not show when it begins: engines that are not full begin at once. */
+	/** Counts the request as started when it was sent: engines with free slots start at once, and nothing else shows the start. */
 	countStartedAtSend(): void {
-		this.began(this.ctx.clock.monotonic() - this.leftAt);
+		this.countStarted(this.ctx.clock.monotonic() - this.sentTime);
 	}
 
-	private began(agoMs: number): void {
-		if (!this.hasBegun && this.wasSent && this.customer !== undefined) {
-			this.hasBegun = true;
+	private countStarted(agoMs: number): void {
+		if (!this.isStartCounted && this.wasSent && this.customer !== undefined) {
+			this.isStartCounted = true;
 			this.ctx.usage?.recordStarted(this.customer, agoMs);
 		}
 	}
@@ -101,10 +99,10 @@
 		this.engine.health.heard(this.ctx.clock.monotonic());
 	}
 
-	/** Its prompt is read: the first event came, or nothing more will. */
+	/** The prompt was read: the first event arrived, or no further one will. */
 	markPromptRead(): void {
-		if (!this.hasStarted) {
-			this.hasStarted = true;
+		if (!this.isPromptRead) {
+			this.isPromptRead = true;
 			const promptTokens = -this.placement.promptTokens;
 			this.changeWork({ promptTokens });
 			this.ctx.onWorkChanged();
@@ -112,8 +110,8 @@
 	}
 
 	/**
-	 * Whole events came: what they tell of the engine's speed goes to the costs of its service.
-	 * @param isPaused the caller reads too slowly, so pauses tell nothing of the engine
+	 * Records the arrival of complete events and feeds their timing to the cost model.
+	 * @param isPaused whether the caller reads too slowly; pauses then say nothing about the engine
 	 */
 	recordEvents(isPaused: boolean): void {
 		this.markPromptRead();
@@ -122,19 +120,16 @@
 		if (this.firstEventAt === undefined) {
 			this.countStartedNow();
 			this.firstEventAt = now;
-			this.firstEventSeen(now - this.leftAt);
-			this.ctx.fleet.recordPrefill(this.shared, this.engine.key, true);
+			this.recordFirstEvent(now - this.sentTime);
+			this.ctx.fleet.recordPrefill(this.sharedSegments, this.engine.key, true);
 			this.ctx.onWorkChanged();
 		} else if (!isPaused) {
-			this.pauseSeen(now);
+			this.recordPause(now);
 		}
 		this.lastEventAt = now;
 	}
 
-	/**
-	 * The stream came to its end.
-	 * @param expectedTokens tokens that were expected of the answer
-	 */
+	/** @param expectedTokens expected length of the answer */
 	recordStreamEnd(expectedTokens: number): void {
 		if (this.firstEventAt !== undefined) {
 			const heldMs = this.lastEventAt - this.firstEventAt;
@@ -142,14 +137,14 @@
 		}
 	}
 
-	/** The work of an engine that is gone was forgotten whole: taken off once more, it would be told for ever. */
+	/** Skips engines that are gone: their work was already removed, and removing it again would distort the announced sums. */
 	private changeWork(change: WorkChange): void {
 		if (!this.engine.isGone) {
 			this.ctx.fleet.changeWork(this.engine.key, change);
 		}
 	}
 
-	private firstEventSeen(delayMs: number): void {
+	private recordFirstEvent(delayMs: number): void {
 		const { promptTokens, copiedTokens, work } = this.placement;
 		const { engine } = this;
 		this.ctx.costs.firstEvent(this.service, {
@@ -163,7 +158,7 @@
 		});
 	}
 
-	private pauseSeen(now: number): void {
+	private recordPause(now: number): void {
 		const { engine, ctx } = this;
 		const ms = now - this.lastEventAt;
 		ctx.costs.pauseSeen(this.service, {
@@ -179,7 +174,7 @@
 		this.bufferedBytes += chunk.length;
 	}
 
-	/** The engine no longer works on it. */
+	/** The engine no longer works on the request. */
 	markEnded(): void {
 		if (!this.wasSent || this.hasEnded) {
 			return;
--- a/src/core/relay/caller-answer.ts
+++ b/src/core/relay/caller-answer.ts
@@ -1,61 +1,60 @@
 /**
- * The answer to one caller as far as it went: its head is sent once, slow readers hold the engine
- * back, and an answer that has started can only be ended or cut.
+ * The answer to one caller: sends the head once, applies backpressure to the engine, and allows a started answer only to end or abort.
  * @module
  */
 import type { Clock } from '../definitions.js';
 import type { AnswerHead, CallerResponse, RawHeaders } from './definitions.js';
 
 export class CallerAnswer {
-	private firstAt?: number;
-	private lastAt?: number;
-	private worstPause?: number;
-	private isHeld = false;
+	private firstWriteAt?: number;
+	private lastWriteAt?: number;
+	private maxPause?: number;
+	private isBlocked = false;
 
-	/** @param onDrain the caller reads again */
+	/** @param onDrain called when the caller has caught up with reading */
 	constructor(
 		private readonly res: CallerResponse,
 		private readonly clock: Clock,
 		private readonly onDrain: () => void,
 	) {}
 
-	/** Its head left: status and headers can no longer change. */
+	/** Whether the head was sent: status and headers can no longer change. */
 	get hasStarted(): boolean {
-		return this.firstAt !== undefined;
+		return this.firstWriteAt !== undefined;
 	}
 
-	/** Monotonic milliseconds of its first byte. */
+	/** Time of the first byte, in milliseconds since boot. */
 	get firstByteAt(): number | undefined {
-		return this.firstAt;
+		return this.firstWriteAt;
 	}
 
-	/** Longest time between two writes, in milliseconds. */
+	/** Longest time between two writes. */
 	get maxPauseMs(): number | undefined {
-		return this.worstPause;
+		return this.maxPause;
 	}
 
-	/** The caller reads too slowly: nothing more should come until it has caught up. */
+	/** Whether the caller reads too slowly; the engine should be paused until it has caught up. */
 	get isPaused(): boolean {
-		return this.isHeld;
+		return this.isBlocked;
 	}
 
-	/** An engine's own head; one that came before stays. */
+	/** Sends an engine's head, unless one was sent before. */
 	writeHead(head: AnswerHead): void {
 		if (!this.hasStarted) {
-			this.firstAt = this.clock.sinceBoot();
+			this.firstWriteAt = this.clock.sinceBoot();
 			this.res.writeHead(head.status, head.headers);
 		}
 	}
 
-	/** @returns false when the caller just began to read too slowly */
+	/** @returns false when this write filled the caller's buffer */
 	write(bytes: Buffer): boolean {
-		this.notePause();
-		if (this.res.write(bytes) || this.isHeld) {
+		this.recordPause();
+		if (this.res.write(bytes) || this.isBlocked) {
 			return true;
 		}
-		this.isHeld = true;
+		this.isBlocked = true;
 		this.res.onDrain(() => {
-			this.isHeld = false;
+			this.isBlocked = false;
 			this.onDrain();
 		});
 		return false;
@@ -65,24 +64,24 @@
 		this.res.end(body);
 	}
 
-	/** Ends a started answer so that it does not look whole. */
+	/** Closes the connection, so that the answer is recognisably incomplete. */
 	abort(): void {
 		this.res.abort();
 	}
 
-	/** A short answer of our own, whole. */
+	/** Sends a complete plain-text answer of the router. */
 	sendText(status: number, text: string, headers: RawHeaders): void {
 		const body = Buffer.from(`${text}\n`);
-		const own = ['Content-Type', 'text/plain', 'Content-Length', String(body.length)];
-		this.res.writeHead(status, [...own, ...headers]);
+		const ownHeaders = ['Content-Type', 'text/plain', 'Content-Length', String(body.length)];
+		this.res.writeHead(status, [...ownHeaders, ...headers]);
 		this.res.end(body);
 	}
 
-	private notePause(): void {
+	private recordPause(): void {
 		const now = this.clock.monotonic();
-		if (this.lastAt !== undefined) {
-			this.worstPause = Math.max(this.worstPause ?? 0, now - this.lastAt);
+		if (this.lastWriteAt !== undefined) {
+			this.maxPause = Math.max(this.maxPause ?? 0, now - this.lastWriteAt);
 		}
-		this.lastAt = now;
+		this.lastWriteAt = now;
 	}
 }
--- a/src/core/relay/definitions.ts
+++ b/src/core/relay/definitions.ts
@@ -1,133 +1,133 @@
 /**
- * Ports and messages of the relay: what callers send, what engines answer.
+ * Interfaces between the relay and its adapters: callers' requests and responses, and connections to engines.
  * @module
  */
 import type { EngineNotice } from '../engines/engine-notices.js';
 
-/** Header names and values in turn, as they came or will go. */
+/** Header names and values alternating, as received or sent. */
 export type RawHeaders = string[];
 
-/** A part of a prompt that requests may share. */
+/** A part of a prompt that several requests may share. */
 export interface PromptSegment {
 	id: string;
 	tokens: number;
 }
 
-/** A caller's request with its body read whole. */
+/** A caller's request with its complete body. */
 export interface CallerRequest {
 	method: string;
 	/** Path and query, unaltered. */
 	target: string;
 	host: string;
-	/** Names this request alone; a repeated one has another. */
+	/** Unique to this request; a caller's retry has another id. */
 	id: string;
-	/** How long the caller waits from the start of the request, in milliseconds. */
+	/** How long the caller waits, counted from the start of the request. */
 	deadlineMs?: number;
 	apiKey?: string;
 	promptSegments: readonly PromptSegment[];
 	promptTokens: number;
-	/** Tokens that the answer is expected to have; a rough estimate. */
+	/** Expected length of the answer; a rough estimate. */
 	answerTokens: number;
-	/** The caller has the events of a broken stream up to this id. */
+	/** Last event that the caller received of a broken stream that it resumes. */
 	lastEventId?: string;
-	/** Headers for the engine; those that the router sets are not among them. */
+	/** Headers to forward to the engine, without those that the router sets. */
 	headers: RawHeaders;
 	body: Buffer;
-	/** Milliseconds since boot at which the head was read. */
+	/** When the head was read, in milliseconds since boot. */
 	arrivedAt: number;
 }
 
-/** The caller's end of a request. */
+/** The response to a caller. */
 export interface CallerResponse {
-	/** Starts the answer; called once. */
+	/** Called once. */
 	writeHead(status: number, headers: RawHeaders): void;
-	/** False when the caller reads too slowly: wait for `onDrain`. */
+	/** @returns false when the caller reads too slowly: wait for `onDrain` */
 	write(chunk: Buffer): boolean;
 	end(chunk?: Buffer): void;
-	/** Closes the connection, so that the answer does not look whole. */
+	/** Closes the connection, so that the answer is recognisably incomplete. */
 	abort(): void;
 	onDrain(callback: () => void): void;
-	/** The caller went away before the answer ended. */
+	/** Calls back when the caller disconnects before the answer has ended. */
 	onDisconnect(callback: () => void): void;
 }
 
-/** Levels of urgency that engines tell apart. */
+/** Number of urgency levels that engines distinguish. */
 export const urgencyLevels = 10;
 
-/** What an engine is handed beside the caller's own request. */
+/** A call to an engine: the caller's request with what the router adds. */
 export interface EngineCall {
 	address: string;
-	/** The engine that alone may run it. */
+	/** The only engine that may run the request. */
 	engineId: string;
 	req: CallerRequest;
 	customer?: string;
-	/** What is left of the caller's time, in milliseconds. */
+	/** Time left until the caller's deadline. */
 	deadlineMs: number;
 	/** 0 is the most urgent, `urgencyLevels - 1` the least. */
 	urgency: number;
 	lastEventId?: string;
-	/** Address of an engine that keeps more of the prompt: copying is faster than reading it again. */
+	/** Address of an engine that has more of the prompt in its prefix cache and from which it is copied. */
 	copyFrom?: string;
 }
 
 /** Head of an engine's answer. */
 export interface AnswerHead {
 	status: number;
-	/** The request that it answers, as the engine names it. */
+	/** Id of the answered request, as the engine returns it. */
 	id?: string;
-	/** It carries the engine's proof of origin. */
+	/** Whether the answer carries the engine's signature. */
 	isSigned: boolean;
-	/** The engine says that it did not run the request and never will. */
+	/** Whether the engine declares that it did not run the request and never will. */
 	hasNotRun: boolean;
-	/** Another engine listens at the address now. */
+	/** Whether another engine now listens at the address. */
 	isFromOtherEngine: boolean;
-	/** The head says where the body ends; else it ends with the connection. */
+	/** Whether the head delimits the body; otherwise the body ends with the connection. */
 	isFramed: boolean;
-	/** Bytes of the body were changed on the way. */
+	/** Whether the body has a content encoding other than identity. */
 	isEncoded: boolean;
-	/** What it says of its engine, whatever becomes of the request. */
+	/** Applies to the engine, whatever the outcome of the request. */
 	notice: EngineNotice;
-	/** Headers for the caller. */
+	/** Headers to forward to the caller. */
 	headers: RawHeaders;
 }
 
-/** Receives the answer of an engine; exactly one of `end`, `fail` and `withdrawn` is called last. */
+/** Receives the answer of an engine. Exactly one of `onEnd`, `onError` and `onWithdrawn` is called, as the last call. */
 export interface AnswerListener {
-	/** Asked when the connection is up: whether the engine may still be given the request. */
+	/** Asked once the connection is established: whether the request should still be sent to the engine. */
 	shouldSend(): boolean;
-	/** It was not: nothing was sent. */
+	/** `shouldSend` returned false: nothing was sent. */
 	onWithdrawn(): void;
-	/** Bytes of the request leave now: from here on it may run. */
+	/** The first bytes are being sent: from here on the engine may run the request. */
 	onSent(): void;
 	onHead(head: AnswerHead): void;
 	onData(chunk: Buffer): void;
 	onEnd(): void;
 	/**
-	 * The call broke; nothing was sent if `sent` was not called.
-	 * @param isRefused the machine answers, and nothing listens at the engine's port
+	 * The call failed; nothing was sent if `onSent` was not called.
+	 * @param isRefused whether the host refused the connection: nothing listens at the engine's port
 	 */
 	onError(reason: string, isRefused: boolean): void;
 }
 
-/** A call on its way. */
+/** Handle of a call in progress. */
 export interface RunningCall {
 	pause(): void;
 	resume(): void;
-	/** Closes the connection; the listener hears nothing more. */
+	/** Closes the connection; the listener is not called again. */
 	abort(): void;
 }
 
 /** Connections to engines. */
 export interface EngineTransport {
 	send(call: EngineCall, listener: AnswerListener): RunningCall;
-	/** Whether a connection to the address is open and unused. */
+	/** Whether an open idle connection to the address exists. */
 	hasIdleConnection(address: string): boolean;
 	/**
-	 * Whether the machine answers that nothing listens at the address. Opens a connection and closes it; an unanswered try tells
-	 * nothing.
+	 * Whether the host refuses connections to the address, so that nothing listens there. Opens and closes a connection; a timeout
+	 * counts as false.
 	 */
 	isPortClosed(address: string): Promise<boolean>;
-	/** The engine is gone: unused connections are closed. */
+	/** Called when the engine is gone. */
 	closeIdleConnections(address: string): void;
 	close(): Promise<void>;
 }
--- a/src/core/relay/event-splitter.ts
+++ b/src/core/relay/event-splitter.ts
@@ -1,6 +1,5 @@
 /**
- * Cuts the bytes of an event stream into whole events and reads their ids. The bytes themselves
- * are passed on as they came.
+ * Splits the bytes of an event stream at event boundaries and reads event ids. The bytes themselves stay unchanged.
  * @module
  */
 
@@ -9,58 +8,58 @@
 const idField = Buffer.from('id:');
 
 export interface CompleteEvents {
-	/** Bytes of all events that are complete now. */
+	/** Bytes of all events that the chunk completed. */
 	bytes: Buffer;
-	/** Id of the last of them, where it has one. */
+	/** The last event id among them. */
 	lastId?: string;
 }
 
 export class EventSplitter {
-	private rest: Buffer = Buffer.alloc(0);
+	private partialEvent: Buffer = Buffer.alloc(0);
 
-	/** Bytes of an event that has not ended. */
+	/** Whether bytes of an incomplete event are buffered. */
 	get hasPartialEvent(): boolean {
-		return this.rest.length > 0;
+		return this.partialEvent.length > 0;
 	}
 
-	/** @returns the events that the chunk completes, or undefined when it completes none */
+	/** @returns the events that the chunk completes; undefined if there are none */
 	feed(chunk: Buffer): CompleteEvents | undefined {
-		const bytes = this.rest.length > 0 ? Buffer.concat([this.rest, chunk]) : chunk;
+		const bytes = this.partialEvent.length > 0 ? Buffer.concat([this.partialEvent, chunk]) : chunk;
 		const end = endOfLastEvent(bytes);
-		this.rest = bytes.subarray(end);
+		this.partialEvent = bytes.subarray(end);
 		if (end === 0) {
 			return undefined;
 		}
-		const whole = bytes.subarray(0, end);
-		return { bytes: whole, lastId: lastIdOf(whole) };
+		const complete = bytes.subarray(0, end);
+		return { bytes: complete, lastId: lastIdOf(complete) };
 	}
 }
 
-/** Behind the last empty line. */
+/** Index after the last empty line; 0 if there is none. */
 function endOfLastEvent(bytes: Buffer): number {
-	for (let at = bytes.length - 1; at > 0; at--) {
-		if (bytes[at] !== newline) {
+	for (let index = bytes.length - 1; index > 0; index--) {
+		if (bytes[index] !== newline) {
 			continue;
 		}
-		const before = bytes[at - 1] === carriageReturn ? at - 2 : at - 1;
+		const before = bytes[index - 1] === carriageReturn ? index - 2 : index - 1;
 		if (before >= 0 && bytes[before] === newline) {
-			return at + 1;
+			return index + 1;
 		}
 	}
 	return 0;
 }
 
 function lastIdOf(events: Buffer): string | undefined {
-	let at = events.lastIndexOf(idField);
-	while (at > 0 && events[at - 1] !== newline) {
-		at = events.lastIndexOf(idField, at - 1);
+	let index = events.lastIndexOf(idField);
+	while (index > 0 && events[index - 1] !== newline) {
+		index = events.lastIndexOf(idField, index - 1);
 	}
-	if (at < 0) {
+	if (index < 0) {
 		return undefined;
 	}
-	const end = events.indexOf(newline, at);
+	const end = events.indexOf(newline, index);
 	return events
-		.subarray(at + idField.length, end)
+		.subarray(index + idField.length, end)
 		.toString('latin1')
 		.trim();
 }
--- a/src/core/relay/log-events.ts
+++ b/src/core/relay/log-events.ts
@@ -1,13 +1,13 @@
 /**
- * Every event that a relaying daemon logs, with its fields. docs/LOGS.md is made from here.
+ * Declares every event that a relaying daemon logs, with its fields. Source of docs/LOGS.md.
  * @module
  */
 
 export interface LogEvent {
 	name: string;
-	/** When it is written. */
+	/** When it is logged. */
 	when: string;
-	/** Fields beside time, level, event and vm. */
+	/** Fields besides time, level, event and vm. */
 	fields: Readonly<Record<string, string>>;
 }
 
@@ -16,250 +16,287 @@
 export const logEvents: readonly LogEvent[] = [
 	{
 		name: 'request.held',
-		when: 'A request that came before configuration and engines were known goes on.',
-		fields: { request: 'id of the request', held_ms: 'how long it waited' },
+		when: 'A request that arrived before configuration and engines were known is processed.',
+		fields: {
+			request: 'id of the request',
+			held_ms: 'how long it waited',
+		},
 	},
 	{
 		name: 'request.placed',
-		when: 'An engine was chosen and the request is sent there.',
+		when: 'An engine was chosen and the request is sent to it.',
 		fields: {
 			...request,
 			engine: 'id of the engine',
-			reason: 'what decided, with the wait expected there',
-			fleet_running: 'requests of the whole fleet at that engine, as known here',
-			unread_tokens: 'tokens of the prompt that it will have to read',
-			wait_ms: 'time until its first event, as estimated',
-			read_ms_per_token: 'what reading a token was estimated to cost there; see costs.learned',
-			pace_reading: "times as long as its service's figures say the engine reads; 1 is usual",
-			pace_steps: "times as long as its service's figures say the engine makes tokens; 1 is usual",
-			cached_tokens: 'tokens of the prompt that the engine is believed to keep',
-			copied_tokens: 'tokens of the prompt that it should copy from another engine',
+			reason: 'the deciding factor, with the expected wait',
+			fleet_running: 'requests of the whole fleet at that engine, as known to this VM',
+			unread_tokens: 'prompt tokens that the engine has to process',
+			wait_ms: 'estimated time to the first event',
+			read_ms_per_token:
+				'estimated processing time of a prompt token at that engine; see costs.learned',
+			pace_reading:
+				"the engine's prompt processing time relative to the service's estimate; 1 is equal, higher is slower",
+			pace_steps:
+				"the engine's token generation time relative to the service's estimate; 1 is equal, higher is slower",
+			cached_tokens: "prompt tokens expected in the engine's prefix cache",
+			copied_tokens: "prompt tokens to copy from another engine's prefix cache",
 			copied_from: 'id of that engine',
-			fleet_prompt_tokens: 'prompt tokens that wait there, as known here',
-			peers: 'VMs whose news that knowledge includes; each is at most a few news intervals old',
-			left_ms: "what is left of the caller's time",
-			last_event: 'the stream goes on behind this event',
-			limit_per_s: 'requests a second that the engine names, if it does; a permit was got',
+			fleet_prompt_tokens: 'prompt tokens queued at the engine, as known to this VM',
+			peers: 'VMs whose gossip is included; each is at most a few gossip intervals old',
+			left_ms: "time left until the caller's deadline",
+			last_event: 'event after which the stream is resumed',
+			limit_per_s: "the engine's request limit per second, if it has one; a permit was granted",
 			customer: 'name of the customer',
-			urgency: 'urgency at the engine, 0 first',
-			configuration: 'version that decided',
+			urgency: 'urgency at the engine; 0 is the most urgent',
+			configuration: 'version of the configuration used',
 		},
 	},
 	{
 		name: 'request.retried',
-		when: 'It goes to a further engine.',
+		when: 'The request is sent to another engine.',
 		fields: {
 			...request,
-			engine: 'engine before',
-			reason: 'why not that one',
-			last_event: 'last event that the caller has',
+			engine: 'id of the previous engine',
+			reason: 'why that attempt failed',
+			last_event: 'last event that the caller received',
 		},
 	},
 	{
 		name: 'request.broken',
-		when: 'The engine broke off, or its answer cannot be used.',
+		when: 'The connection to the engine failed, or its answer cannot be used.',
 		fields: {
 			...request,
 			engine: 'id of the engine',
-			reason: 'what was seen',
+			reason: 'the failure',
 			content:
-				'stands for method, host, path, customer and body: the same for a request that comes again under another id',
-			sent_ms: 'time since it was sent there',
-			running_ms: 'time since its first event, if one came',
+				'hash of method, host, path, customer and body; identifies the same request under another id',
+			sent_ms: 'time since the request was sent to the engine',
+			running_ms: 'time since its first event, if there was one',
 		},
 	},
 	{
 		name: 'request.quarantined',
-		when: 'It is refused: its content crashed engines before. It has not run.',
+		when: 'The request is refused because its content crashed engines before. It has not run.',
 		fields: {
 			request: 'id of the request',
 			customer: 'name of the customer',
-			content: 'what it asks, as in quarantine.entered and request.broken',
+			content: 'hash of the content, as in quarantine.entered and request.broken',
 		},
 	},
 	{
 		name: 'quarantine.entered',
-		when: 'Engines ended under a content; it is kept from engines for ten minutes.',
+		when: 'Engines crashed while running requests with this content; such requests are refused for ten minutes.',
 		fields: {
-			content: 'stands for what such requests ask',
-			engines: 'engines that ended under it, as known here',
-			source: 'news: VMs saw them end; store: another VM recorded it before',
+			content: 'hash of the content',
+			engines: 'number of engines that crashed, as known to this VM',
+			source: '`news`: VMs saw the crashes; `store`: another VM recorded the content before',
 		},
 	},
 	{
 		name: 'quarantine.left',
-		when: 'A content is let through again: it was served, another explains the ends, or its time is over.',
-		fields: { content: 'stands for what such requests ask' },
+		when: 'Requests with this content are accepted again: one was served, another content explains the crashes, or the time is over.',
+		fields: {
+			content: 'hash of the content',
+		},
 	},
 	{
 		name: 'quarantine.recorded',
-		when: 'The store holds it for VMs that start.',
-		fields: { content: 'stands for what such requests ask' },
+		when: 'The content is recorded in the store for VMs that start later.',
+		fields: {
+			content: 'hash of the content',
+		},
 	},
 	{
 		name: 'quarantine.unrecorded',
-		when: 'The store did not tell or take contents; it is asked again after a second.',
-		fields: { error: 'what the store said' },
+		when: 'Quarantined contents could not be read from or written to the store; the call is retried after a second.',
+		fields: {
+			error: 'error of the store',
+		},
 	},
 	{
 		name: 'vm.suspended',
-		when: 'The VM was suspended, or its time of day was set forward; what the store told is read again.',
-		fields: { ms: 'for how long' },
+		when: 'The VM was suspended, or its clock was set forward; data from the store is read again.',
+		fields: {
+			ms: 'duration',
+		},
 	},
 	{
 		name: 'request.ended',
-		when: 'The caller got its last byte, or went away. A warning unless complete.',
+		when: 'The caller received the last byte or disconnected. Level warn unless complete.',
 		fields: {
 			...request,
 			outcome:
 				'complete, engine-failure, refused, unknown (may have run), timed-out, cut, caller-left',
 			reason: 'why, unless complete',
-			status: 'status of an answer of our own',
-			engines: 'engines that bytes of it were sent to',
-			first_ms: 'from the request to the first byte of its answer',
-			pause_ms: 'longest time between two parts of a streamed answer, at this VM',
+			status: 'status of an answer generated by the router',
+			engines: 'engines that received bytes of the request',
+			first_ms: 'from the request to the first byte of the answer',
+			pause_ms: 'longest time between two writes of a streamed answer, at this VM',
 			took_ms: 'from the request to its end',
 		},
 	},
 	{
 		name: 'request.denied',
-		when: 'No route, no known key, no configuration yet, or the daemon stops.',
+		when: 'No route, no known key, no configuration yet, or the daemon is stopping.',
 		fields: {
 			request: request.request,
-			status: 'status told',
+			status: 'status sent to the caller',
 			reason: 'why',
-			version: 'configuration',
+			version: 'version of the configuration',
 		},
 	},
 	{
 		name: 'engine.closed',
-		when: 'After failures the engine gets no work for 0.5 to 4 s, then one request to try it.',
-		fields: { ...request, engine: 'id of the engine', reason: 'the last failure' },
+		when: 'After failures the circuit breaker of the engine opens: no requests for 0.5 to 4 s, then one trial request.',
+		fields: {
+			...request,
+			engine: 'id of the engine',
+			reason: 'the last failure',
+		},
 	},
 	{
 		name: 'engine.suspected',
-		when: 'The engine failed requests of several VMs: this VM gives it none for a while, then tries it.',
+		when: 'The engine failed requests of several VMs: this VM sends it none for a while, then a trial request.',
 		fields: {
 			engine: 'id of the engine',
 			failed: 'requests that it failed in the last seconds, over all VMs',
-			served: 'requests that it served in that time, as far as they are told',
-			close_ms: 'how long it gets nothing',
+			served: 'requests that it served in that time, as far as known',
+			close_ms: 'how long it gets no requests',
 		},
 	},
 	{
 		name: 'engine.restored',
-		when: 'An engine that was suspected has served a request, of this VM or another one.',
-		fields: { engine: 'id of the engine' },
+		when: 'A suspected engine has served a request, of this VM or another one.',
+		fields: {
+			engine: 'id of the engine',
+		},
 	},
 	{
 		name: 'engine.notice',
-		when: 'The head of an answer says something new of its engine: that it leaves, wants rest, or names (or no longer names) the requests a second that it takes.',
+		when: 'The head of an answer carries a new engine notice: the engine drains, asks for a back-off, or sets, changes or removes its limit of requests per second.',
 		fields: {
 			...request,
 			engine: 'id of the engine',
 			status: 'status of that answer',
-			leaving: 'the engine leaves',
-			rest_s: 'the engine wants no request for so long',
+			leaving: 'whether the engine drains',
+			rest_s: 'back-off: how long the engine wants no requests',
 			limit_per_s:
-				'requests a second that the engine takes from all VMs together; left out when it names no limit',
+				'requests per second that the engine accepts from all VMs together; absent without a limit',
 		},
 	},
 	{
 		name: 'engine.limit',
-		when: 'The fleet hears that an engine names another limit than before, or none any more; from its own answer or from another VM.',
+		when: 'The fleet learns of a new, changed or removed limit of an engine, from an answer of the engine or from another VM.',
 		fields: {
 			engine: 'id of the engine; a number while it is not registered',
 			limit_per_s:
-				'requests a second that it takes from all VMs together; left out when it names no limit',
-			version: 'how often that changed; higher ones replace lower ones',
+				'requests per second that it accepts from all VMs together; absent without a limit',
+			version: 'number of changes; higher versions replace lower ones',
 		},
 	},
 	{
 		name: 'permits.issuer',
-		when: 'Another VM, or this one, issues the permits for engines that name limits.',
+		when: 'Another VM, or this one, becomes the issuer of permits for engines with limits.',
 		fields: {
-			address: 'where that VM hears the others',
-			term: 'rises with each that takes over',
+			address: 'address at which the issuer receives messages of other VMs',
+			term: 'increases with each new issuer',
 		},
 	},
 	{
 		name: 'permit.denied',
-		when: 'The request got no permit for the engine, which names a limit; another engine is chosen, or the caller is told when to come back.',
+		when: 'The request got no permit for an engine with a limit; another engine is chosen, or the caller is refused with a retry time.',
 		fields: {
 			...request,
 			engine: 'id of the engine',
-			retry_ms: 'for so long no request of its urgency asks there',
+			retry_ms: 'how long no request of this urgency asks for a permit there',
 		},
 	},
 	{
 		name: 'request.withdrawn',
-		when: 'Its engine asked for rest, or named a limit, while the connection came up. Nothing was sent; an engine is chosen anew.',
+		when: 'The engine asked for a back-off or set a limit while the connection was being established. Nothing was sent; an engine is chosen again.',
 		fields: {
 			...request,
 			engine: 'id of the engine',
-			limit_per_s: 'requests a second that the engine names, if it does',
-			rest_ms: 'for how long it still wants no request',
+			limit_per_s: 'requests per second that the engine accepts, if it has a limit',
+			rest_ms: 'remaining back-off',
 		},
 	},
 	{
 		name: 'engine.seen',
-		when: 'An engine registered, or says that it leaves.',
+		when: 'An engine registered, or its registration says that it drains.',
 		fields: {
 			engine: 'id',
 			service: 'its service',
 			address: 'IP and port',
 			domain: 'failure domain',
-			draining: 'it takes nothing new',
+			draining: 'whether it accepts no new requests',
 			revision: 'revision of the store',
 		},
 	},
 	{
 		name: 'engine.doubted',
-		when: 'A registration that had ended stands again in a store that came back from an older copy; it is not used for a while.',
-		fields: { engine: 'id', ms: 'for how long, unless it is written anew before' },
+		when: 'A registration that had ended reappeared in a store that was restored from an older copy; the engine is not used for a while.',
+		fields: {
+			engine: 'id',
+			ms: 'how long, unless the registration is written again earlier',
+		},
 	},
 	{
 		name: 'engine.kept-leaving',
-		when: 'An engine that leaves reads as ready in a store that came back from an older copy; it is not used.',
-		fields: { engine: 'id' },
+		when: 'A draining engine is registered as ready in a store that was restored from an older copy; it is not used.',
+		fields: {
+			engine: 'id',
+		},
 	},
 	{
 		name: 'engine.gone',
 		when: 'An engine is no longer used.',
-		fields: { engine: 'id', service: 'its service', reason: 'how this is known' },
+		fields: {
+			engine: 'id',
+			service: 'its service',
+			reason: 'how this is known',
+		},
 	},
 	{
 		name: 'costs.learned',
-		when: 'Each 5 seconds, for each service of model engines: what work there is estimated to cost.',
+		when: 'Every 5 seconds for each service of model engines: the estimates of its cost model.',
 		fields: {
 			service: 'its name',
-			read_tokens_per_ms: 'prompt tokens that an engine reads, steps between included',
-			first_ms: 'time to a first event beyond reading',
-			copy_tokens_per_ms: 'tokens that an engine copies from another',
-			copy_setup_ms: 'time before a copy begins',
-			event_ms: 'pause between events of a stream beside which no prompt is read',
-			answer_ms_per_token: 'time of a stream for each token expected of its answer',
-			held_ms: 'time from first to last event, in the mean',
-			observations: 'first events that this VM has seen since its start',
-			peers: 'VMs that told what they have seen',
-			paced: 'engines whose own pace is known',
-			turned: 'those of them that lately changed by more than twice',
-			slowest: 'the slowest, with how many times as long as usual each reads and makes tokens',
+			read_tokens_per_ms:
+				'prompt tokens that an engine processes, including generation steps in between',
+			first_ms: 'time to the first event in addition to prompt processing',
+			copy_tokens_per_ms: 'tokens copied from another engine',
+			copy_setup_ms: 'time before a copy starts',
+			event_ms: 'pause between events of a stream while no prompt is processed',
+			answer_ms_per_token: 'duration of a stream per expected answer token',
+			held_ms: 'mean time from the first to the last event',
+			observations: 'first events that this VM has observed since its start',
+			peers: 'VMs that shared observations',
+			paced: 'engines with a known pace of their own',
+			turned: 'those whose pace changed recently by more than a factor of two',
+			slowest: 'the slowest engine, with its pace of prompt processing and token generation',
 		},
 	},
 	{
 		name: 'vm.unreadable',
-		when: 'What stands under the key of a VM is no registration of one; it is passed over.',
-		fields: { key: 'key in the store', revision: 'of the store' },
+		when: "The value under a VM's key is not a valid registration; it is ignored.",
+		fields: {
+			key: 'key in the store',
+			revision: 'of the store',
+		},
 	},
 	{
 		name: 'engine.unreadable',
-		when: 'A registration is not an engine’s: it names no engine. Once for each time it is written.',
-		fields: { key: 'key in the store', revision: 'of the store', error: 'what is wrong' },
+		when: "The value under an engine's key is not a valid registration. Logged once per write.",
+		fields: {
+			key: 'key in the store',
+			revision: 'of the store',
+			error: 'what is wrong',
+		},
 	},
 	{
 		name: 'configuration.applied',
-		when: 'A version is in force on this VM.',
+		when: 'A configuration version is in force on this VM.',
 		fields: {
 			version: 'version',
 			source: 'the store or a peer',
@@ -269,209 +306,288 @@
 	},
 	{
 		name: 'configuration.unreadable',
-		when: 'A configuration cannot be understood; the version before stays in force.',
-		fields: { source: 'where it came from', error: 'all findings' },
+		when: 'A configuration is invalid; the previous version stays in force.',
+		fields: {
+			source: 'where it came from',
+			error: 'all findings',
+		},
 	},
 	{
 		name: 'store.reached',
-		when: 'The store can be read, first or again.',
+		when: 'The store can be read, for the first time or again.',
 		fields: {
-			prefix: 'keys that are followed',
+			prefix: 'key prefix that is watched',
 			revision: 'revision of the store',
-			era: 'how often it has come back from an older copy',
+			era: 'number of times the store was restored from an older copy',
 		},
 	},
 	{
 		name: 'store.restored',
-		when: 'The store came back from an older copy. The VM writes again what it had written there, and keeps what it knows that is newer.',
+		when: 'The store was restored from an older copy. The VM writes its own entries again and keeps newer data that it knows.',
 		fields: {
-			era: 'how often the store has come back from an older copy',
-			era_before: 'the same as the list of engines showed it',
-			revision_before: 'revision of the store that the list of engines showed',
-			configuration: 'version in force, which stays',
+			era: 'number of times the store was restored from an older copy',
+			era_before: 'era at the last read of the list of engines',
+			revision_before: 'revision of the store at the last read of the list of engines',
+			configuration: 'version in force, which is kept',
 			duty_token: 'fencing token that this VM gives up, if it held the duty',
 		},
 	},
 	{
 		name: 'store.lost',
-		when: 'The store cannot be read; what is known stays in use.',
-		fields: { prefix: 'keys that are followed', error: 'how the call failed' },
+		when: 'The store cannot be read; the last known data stays in use.',
+		fields: {
+			prefix: 'key prefix that is watched',
+			error: 'how the call failed',
+		},
 	},
 	{
 		name: 'store.reading',
-		when: 'This VM takes up or lays down reading the store for the fleet.',
-		fields: { reads: 'whether it reads the store now', peers: 'VMs heard of lately' },
+		when: 'This VM starts or stops reading the store for the fleet.',
+		fields: {
+			reads: 'whether it reads the store now',
+			peers: 'VMs seen recently',
+		},
 	},
 	{
 		name: 'vm.registered',
-		when: 'This VM is listed in the store.',
+		when: 'This VM is registered in the store.',
 		fields: {
 			lease: 'id of the lease',
-			taken_over: 'whether it goes on with the registration of the process before',
+			taken_over: 'whether it continues the registration of the previous process',
 		},
 	},
 	{
 		name: 'vm.renewal-failed',
-		when: 'The lease was not renewed; calls that hang are dropped and made again.',
-		fields: { reason: 'refused, unknown or lease-ended', error: 'how the call failed' },
+		when: 'The lease was not renewed; pending calls are dropped and retried.',
+		fields: {
+			reason: 'refused, unknown or lease-ended',
+			error: 'how the call failed',
+		},
 	},
 	{
 		name: 'peer.seen',
-		when: 'A VM was heard for the first time, or again.',
-		fields: { peer: 'its name', peers: 'VMs heard of' },
+		when: 'Gossip of a VM arrived for the first time, or again.',
+		fields: {
+			peer: 'its name',
+			peers: 'known live VMs',
+		},
 	},
 	{
 		name: 'peer.lost',
-		when: 'A VM fell silent; its work is no longer counted.',
-		fields: { peer: 'its name', peers: 'VMs heard of' },
+		when: 'A VM is silent; its work is no longer counted.',
+		fields: {
+			peer: 'its name',
+			peers: 'known live VMs',
+		},
 	},
 	{
 		name: 'news.aggregator',
-		when: 'This VM reports its work to another aggregator than before, or became one itself.',
+		when: 'This VM reports its work to a different aggregator, or became one itself.',
 		fields: {
-			reports_to: 'the aggregator’s address; none while it is one itself',
-			peers: 'VMs heard of',
+			reports_to: 'address of the aggregator; absent while this VM is one itself',
+			peers: 'known live VMs',
 		},
 	},
 	{
 		name: 'engines.unreadable',
-		when: 'A peer’s list of engines cannot be understood; the list before stays.',
-		fields: { peer: 'its address', error: 'why' },
+		when: "A peer's list of engines is invalid; the previous list stays in use.",
+		fields: {
+			peer: 'its address',
+			error: 'why',
+		},
 	},
 	{
 		name: 'peer.fetch-failed',
-		when: 'A peer did not answer a question for configuration or engines.',
-		fields: { peer: 'its address', path: 'what was asked for', error: 'how the call failed' },
+		when: 'A peer did not answer a request for the configuration or the engines.',
+		fields: {
+			peer: 'its address',
+			path: 'requested path',
+			error: 'how the call failed',
+		},
 	},
 	{
 		name: 'peers.unreadable',
-		when: 'The first datagram that is no news of this format.',
-		fields: { bytes: 'its length' },
+		when: 'The first datagram that is not a gossip message of this format.',
+		fields: {
+			bytes: 'its length',
+		},
 	},
 	{
 		name: 'peers.socket-failed',
-		when: 'The socket for news reported an error.',
-		fields: { error: 'the error' },
+		when: 'The gossip socket reported an error.',
+		fields: {
+			error: 'the error',
+		},
 	},
 	{
 		name: 'callers.memory-full',
-		when: 'Bodies of requests fill their bound; a request was refused unread.',
-		fields: { held_bytes: 'bytes held' },
+		when: 'Buffered request bodies reached their memory limit; a request was refused before its body was read.',
+		fields: {
+			held_bytes: 'bytes held',
+		},
 	},
 	{
 		name: 'callers.body-broken',
-		when: 'A caller went away before its request was read whole (level debug).',
-		fields: { error: 'the error', body_bytes: 'bytes read' },
+		when: 'A caller disconnected before its request was read completely (level debug).',
+		fields: {
+			error: 'the error',
+			body_bytes: 'bytes read',
+		},
 	},
 	{
 		name: 'daemon.started',
-		when: 'The daemon listens.',
+		when: 'The daemon is listening.',
 		fields: {
 			callers_port: 'port for callers',
 			domain: 'failure domain',
 			took_ms: 'from the start of the process',
 		},
 	},
-	{ name: 'daemon.stopping', when: 'The stop signal came.', fields: { requests: 'still open' } },
-	{ name: 'daemon.stopped', when: 'The process ends.', fields: { took_ms: 'since the signal' } },
+	{
+		name: 'daemon.stopping',
+		when: 'The stop signal was received.',
+		fields: {
+			requests: 'open requests',
+		},
+	},
+	{
+		name: 'daemon.stopped',
+		when: 'The process ends.',
+		fields: {
+			took_ms: 'since the signal',
+		},
+	},
 	{
 		name: 'daemon.reloaded',
 		when: 'Changed settings are in use.',
-		fields: { seeds: 'peers to ask first' },
+		fields: {
+			seeds: 'seed nodes',
+		},
 	},
 	{
 		name: 'daemon.failed',
-		when: 'A defect ended a loop; the process ends and is started anew.',
-		fields: { error: 'with its stack' },
+		when: 'An unexpected error ended a loop; the process exits and is restarted.',
+		fields: {
+			error: 'with its stack',
+		},
 	},
 	{
 		name: 'settings.finding',
-		when: 'Changed settings are wrong; those before stay in use.',
-		fields: { finding: 'place and fault' },
+		when: 'Changed settings are invalid; the previous ones stay in use.',
+		fields: {
+			finding: 'place and fault',
+		},
 	},
 	{
 		name: 'settings.unreadable',
 		when: 'Changed settings cannot be read.',
-		fields: { file: 'path', error: 'why' },
+		fields: {
+			file: 'path',
+			error: 'why',
+		},
 	},
 	{
 		name: 'duty.taken',
-		when: 'This VM acts for the whole fleet from now on: it reports usage and orders engines.',
-		fields: { token: 'fencing token of its calls', lease: 'of the store' },
+		when: 'This VM now holds the duty for the whole fleet: it reports usage and orders engines.',
+		fields: {
+			token: 'fencing token of its calls',
+			lease: 'id of the lease in the store',
+		},
 	},
 	{
 		name: 'duty.lost',
-		when: 'This VM no longer acts for the whole fleet.',
-		fields: { token: 'that it had', reason: 'why' },
+		when: 'This VM no longer holds the duty.',
+		fields: {
+			token: 'its fencing token',
+			reason: 'why',
+		},
 	},
 	{
 		name: 'duty.store-failed',
-		when: 'A call to the store for the duty failed; it is tried again.',
-		fields: { reason: 'kind of failure', error: 'what happened' },
+		when: 'A call to the store for the duty failed; it is retried.',
+		fields: {
+			reason: 'kind of failure',
+			error: 'what happened',
+		},
 	},
 	{
 		name: 'duty.unanswered',
-		when: 'The platform’s API did not answer a call; it may still be carried out.',
-		fields: { path: 'what was called', reason: 'why' },
+		when: "The platform's API did not answer a call; the call may still take effect.",
+		fields: {
+			path: 'requested path',
+			reason: 'why',
+		},
 	},
 	{
 		name: 'usage.reported',
 		when: 'The counts of a window were sent to the platform.',
 		fields: {
-			window: 'its number since 1970',
-			customers: 'with requests in it',
-			requests: 'that began in it',
+			window: 'number of the window since 1970',
+			customers: 'customers with requests in the window',
+			requests: 'requests that started in the window',
 			token: 'fencing token',
 			answer: '`done`, `refused`, `busy` or `unknown`',
 		},
 	},
 	{
 		name: 'usage.late',
-		when: 'The platform took the counts of a window after they were due.',
-		fields: { window: 'its number', late_ms: 'how much too late' },
+		when: 'The platform accepted the counts of a window after they were due.',
+		fields: {
+			window: 'its number',
+			late_ms: 'how late',
+		},
 	},
 	{
 		name: 'usage.doubted',
-		when: 'The store came back from an older copy, and another VM held the duty: windows that were over may have been reported, and are given up.',
+		when: 'The store was restored from an older copy, and another VM held the duty: completed windows may have been reported already and are skipped.',
 		fields: {
-			before: 'number of the first window that is not',
-			era: 'in which the store’s reports were written',
+			before: 'number of the first window that is not skipped',
+			era: 'era in which the reports in the store were written',
 		},
 	},
 	{
 		name: 'usage.unreadable',
-		when: 'What the store holds of earlier reports is none; it is passed over.',
-		fields: { error: 'what is wrong' },
+		when: 'The record of earlier reports in the store is invalid; it is ignored.',
+		fields: {
+			error: 'what is wrong',
+		},
 	},
 	{
 		name: 'engines.ordered',
 		when: 'A number of engines was ordered.',
 		fields: {
-			service: 'whose engines',
+			service: 'service of the engines',
 			domain: 'failure domain',
-			spot: 'whether of the kind that may be taken away',
-			count: 'engines there should be',
-			serving: 'engines of the kind that serve there now',
-			wanted: 'engines that the service should have in all, with room for bursts',
-			required: 'engines that what callers bring now takes',
-			busy: 'engines kept busy by what callers bring now',
+			spot: 'whether they are spot engines, which can be preempted',
+			count: 'number of engines that should exist',
+			serving: 'engines of this kind that serve there now',
+			wanted: 'engines that the service should have in total, with headroom for bursts',
+			required: 'engines that the current load requires',
+			busy: 'engines kept busy by the current load',
 			token: 'fencing token',
-			answer: '`done`, `refused` (or none to be had), `busy` or `unknown`',
+			answer: '`done`, `refused` (or none available), `busy` or `unknown`',
 		},
 	},
 	{
 		name: 'clock.set',
-		when: 'The time by which windows are counted was wrong on this VM, as the others say.',
-		fields: { difference_ms: 'by how much it was set' },
+		when: 'The clock by which windows are counted was wrong on this VM, compared to the other VMs.',
+		fields: {
+			difference_ms: 'correction',
+		},
 	},
 	{
 		name: 'log.thinned',
-		when: 'More lines of one event came than pass in a second.',
-		fields: { of: 'the event', lines: 'lines left out' },
+		when: 'An event was logged more often than its limit per second.',
+		fields: {
+			of: 'the event',
+			lines: 'lines left out',
+		},
 	},
 	{
 		name: 'log.dropped',
-		when: 'Nobody read the log fast enough.',
-		fields: { lines: 'lines dropped' },
+		when: 'The log was not read fast enough.',
+		fields: {
+			lines: 'lines dropped',
+		},
 	},
 ];
--- a/src/core/relay/metrics.ts
+++ b/src/core/relay/metrics.ts
@@ -1,16 +1,16 @@
 /**
- * Figures of the relay that operators watch.
+ * Metrics that the relay records.
  * @module
  */
 import type { RelayOutcome } from './types.js';
 
-/** Receives figures; what they mean is declared with the adapter that serves them. */
+/** The adapter that serves the metrics declares their names and help texts. */
 export interface RelayMetrics {
-	/** A request ended. Times in milliseconds; `firstMs` until its first byte, if any came. */
+	/** @param firstMs time to the first byte of the answer; undefined if there was none */
 	recordEnded(route: string, outcome: RelayOutcome, tookMs: number, firstMs?: number): void;
 	recordDenied(status: number): void;
 	recordRetry(service: string): void;
 	recordCircuitOpened(): void;
-	/** An engine that names a limit takes no request of the service now. */
+	/** A permit for an engine with a request limit was denied. */
 	recordPermitDenied(service: string): void;
 }
--- a/src/core/relay/placement-log.ts
+++ b/src/core/relay/placement-log.ts
@@ -1,22 +1,21 @@
 /**
- * The line in the log that tells where a request was sent and what decided.
+ * Logs where a request is sent and why.
  * @module
  */
 import type { Placement } from '../engines/placement-types.js';
 import type { RequestOutcome } from './request-outcome.js';
 import type { RelayContext, RoutedRequest } from './types.js';
 
-/** How far the request is. */
 export interface RequestProgress {
-	/** What is left of its caller's time, in milliseconds. */
+	/** Time left until the caller's deadline. */
 	leftMs: number;
-	/** The stream goes on behind this event. */
+	/** The event after which the engine resumes the stream. */
 	lastEventId: string | undefined;
 }
 
 export function logPlacement(
 	ctx: RelayContext,
-	terms: RoutedRequest,
+	routed: RoutedRequest,
 	outcome: RequestOutcome,
 	placement: Placement,
 	{ leftMs, lastEventId }: RequestProgress,
@@ -39,8 +38,8 @@
 		left_ms: Math.round(leftMs),
 		last_event: lastEventId,
 		limit_per_s: ctx.limits.ledger.getLimitPerS(engine.ref),
-		customer: terms.customer?.name,
-		urgency: terms.urgency,
-		configuration: terms.configurationVersion,
+		customer: routed.customer?.name,
+		urgency: routed.urgency,
+		configuration: routed.configurationVersion,
 	});
 }
--- a/src/core/relay/relay.ts
+++ b/src/core/relay/relay.ts
@@ -1,5 +1,5 @@
 /**
- * Takes requests: finds route, customer and service, then starts their life.
+ * Accepts requests: finds route, customer and service, then starts to relay them.
  * @module
  */
 import type { Random } from '../definitions.js';
@@ -12,21 +12,21 @@
 import type { StartupQueue } from './startup-queue.js';
 import type { RelayContext } from './types.js';
 
-/** Bounds of the time after which a caller may come back to a VM that knows too little to answer, in seconds. */
-const leastNotReadyS = 0.3;
-const mostNotReadyS = 4;
+/** Bounds of the retry time that a VM without a current configuration sends to callers. */
+const minNotReadyRetryS = 0.3;
+const maxNotReadyRetryS = 4;
 
 export interface RelayOptions extends RelayContext {
 	random: Random;
-	/** Keeps requests that come before anything is known. */
+	/** Holds requests until configuration and engines are loaded. */
 	startupQueue: StartupQueue;
 	/** The configuration in force; undefined before the first. */
 	routes: () => RouteTable | undefined;
-	/** Whether the configuration in force may be behind; then nothing is denied by it. */
+	/** Whether the configuration in force may be outdated; then it denies no request for good. */
 	isPossiblyStale: () => boolean;
-	/** How long the store has not answered this VM, in milliseconds. */
+	/** How long the store has not answered this VM. */
 	storeUnreachableMs: () => number;
-	/** Why a request of the route is not taken now; undefined when it is. */
+	/** Why requests of the route are refused now; undefined while they are accepted. */
 	refusal: (route: Route) => string | undefined;
 }
 
@@ -46,7 +46,7 @@
 		}
 	}
 
-	/** Moves requests away from engines that fell silent; called several times a second. */
+	/** Retries requests whose engine is silent on another engine; called several times a second. */
 	checkSilentEngines(): void {
 		const now = this.opts.clock.monotonic();
 		for (const request of [...this.open]) {
@@ -54,7 +54,7 @@
 		}
 	}
 
-	/** Cuts what has not ended. */
+	/** Aborts all open requests. */
 	abortAll(reason: string): void {
 		for (const request of [...this.open]) {
 			request.abort(reason);
@@ -95,14 +95,14 @@
 		const urgency = table.urgency(route, customer, urgencyLevels);
 		const configurationVersion = table.version;
 		const model = table.service(service)?.model;
-		const terms = {
+		const routed = {
 			req,
 			route,
 			service,
 			customer,
 			model,
-			leastUrgent: route.tier >= table.leastUrgentTier(service),
-			tightestPauseMs: table.minTargetPauseMs(service),
+			isLeastUrgent: route.tier >= table.leastUrgentTier(service),
+			minTargetPauseMs: table.minTargetPauseMs(service),
 			urgency,
 			configurationVersion,
 		};
@@ -111,10 +111,10 @@
 			this.deny(req, res, 503, refusal, table.version);
 			return;
 		}
-		if (this.isQuarantined(req, res, customer)) {
+		if (this.refuseQuarantined(req, res, customer)) {
 			return;
 		}
-		const request = new RelayedRequest(this.opts, terms, res, (outcome, ended) => {
+		const request = new RelayedRequest(this.opts, routed, res, (outcome, ended) => {
 			this.open.delete(ended);
 			const { tookMs, firstByteMs } = ended;
 			this.opts.metrics.recordEnded(route.name, outcome, tookMs, firstByteMs);
@@ -123,8 +123,8 @@
 		request.start();
 	}
 
-	/** What crashed engines is told at once that it has not run, and when to come back: whoever runs the engines mends them first. */
-	private isQuarantined(
+	/** Refuses a request whose content crashed engines. */
+	private refuseQuarantined(
 		req: CallerRequest,
 		res: CallerResponse,
 		customer: Customer | undefined,
@@ -141,17 +141,22 @@
 			content: formatContentHash(content),
 		};
 		this.opts.log.warn('request.quarantined', fields);
-		this.tell(res, 503, 'engines crashed as they ran this request; it has not run', retryAfterS);
+		this.sendText(
+			res,
+			503,
+			'engines crashed as they ran this request; it has not run',
+			retryAfterS,
+		);
 		return true;
 	}
 
-	/** An outage is taken to last as long again as it has: a caller that comes back sooner is refused twice. */
-	private notReadyS(): number {
-		const silentS = this.opts.storeUnreachableMs() / 1000;
-		return Math.min(Math.max(silentS, leastNotReadyS), mostNotReadyS);
+	/** Expects an outage to last as long again as it has lasted, so that callers are not refused twice. */
+	private notReadyRetryS(): number {
+		const unreachableS = this.opts.storeUnreachableMs() / 1000;
+		return Math.min(Math.max(unreachableS, minNotReadyRetryS), maxNotReadyRetryS);
 	}
 
-	/** Denies by the configuration, unless that may be behind: then the caller may come back. */
+	/** Denies a request; with a possibly outdated configuration, refuses it with a retry time instead. */
 	private deny(
 		req: CallerRequest,
 		res: CallerResponse,
@@ -159,13 +164,13 @@
 		reason: string,
 		version?: number,
 	): void {
-		const told = this.opts.isPossiblyStale() ? 503 : status;
-		this.opts.metrics.recordDenied(told);
-		this.opts.log.warn('request.denied', { request: req.id, status: told, reason, version });
-		this.tell(res, told, reason, told === 503 ? this.notReadyS() : undefined);
+		const sentStatus = this.opts.isPossiblyStale() ? 503 : status;
+		this.opts.metrics.recordDenied(sentStatus);
+		this.opts.log.warn('request.denied', { request: req.id, status: sentStatus, reason, version });
+		this.sendText(res, sentStatus, reason, sentStatus === 503 ? this.notReadyRetryS() : undefined);
 	}
 
-	private tell(res: CallerResponse, status: number, text: string, retryAfterS?: number): void {
+	private sendText(res: CallerResponse, status: number, text: string, retryAfterS?: number): void {
 		const body = Buffer.from(`${text}\n`);
 		const headers = ['Content-Type', 'text/plain', 'Content-Length', String(body.length)];
 		if (retryAfterS !== undefined) {
--- a/src/core/relay/relayed-request.ts
+++ b/src/core/relay/relayed-request.ts
@@ -1,5 +1,5 @@
 /**
- * The life of one request: placed, sent, perhaps sent again or resumed, answered or given up.
+ * Relays one request: places and sends it, retries or resumes it on other engines, and ends its answer.
  * @module
  */
 
@@ -19,76 +19,76 @@
 import type { RelayContext, RelayOutcome, RoutedRequest } from './types.js';
 import { relayOutcomes } from './types.js';
 
-/** Statuses that tell a caller that its request has not run and never will. */
+/** Statuses that imply to a caller that its request has not run and never will. */
 const notRunStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** Engines that could not be reached before a request is refused. */
+/** Failed connections before a request is refused. */
 const maxUnreachable = 4;
 
 export class RelayedRequest {
 	private readonly deadlineAt: number;
-	private readonly placing: RequestPlacement;
+	private readonly requestPlacement: RequestPlacement;
 	private attempt?: Attempt;
-	private unreachable = 0;
+	private unreachableCount = 0;
 	private readonly answer: CallerAnswer;
 	private readonly outcome: RequestOutcome;
 	private readonly suspicion: RequestQuarantine;
-	private readonly relayed: AnswerRelay;
-	private readonly failures: AttemptResults;
+	private readonly answerRelay: AnswerRelay;
+	private readonly results: AttemptResults;
 	private readonly timer: NodeJS.Timeout;
 
 	constructor(
 		private readonly ctx: RelayContext,
-		private readonly terms: RoutedRequest,
+		private readonly routed: RoutedRequest,
 		res: CallerResponse,
 		onEnd: (outcome: RelayOutcome, request: RelayedRequest) => void,
 	) {
-		const { req, route } = terms;
-		const heldMs = Math.min(req.deadlineMs ?? route.timeoutMs, route.timeoutMs);
-		this.deadlineAt = req.arrivedAt + heldMs;
-		this.suspicion = new RequestQuarantine(ctx.quarantine, req, terms.customer?.name);
-		this.timer = setTimeout(() => this.expired(), Math.max(1, this.leftMs));
+		const { req, route } = routed;
+		const timeoutMs = Math.min(req.deadlineMs ?? route.timeoutMs, route.timeoutMs);
+		this.deadlineAt = req.arrivedAt + timeoutMs;
+		this.suspicion = new RequestQuarantine(ctx.quarantine, req, routed.customer?.name);
+		this.timer = setTimeout(() => this.handleTimeout(), Math.max(1, this.leftMs));
 		this.answer = new CallerAnswer(res, ctx.clock, () => this.attempt?.call?.resume());
-		this.outcome = new RequestOutcome(ctx, terms, this.answer, (outcome) => {
-			this.placing.cancel();
+		this.outcome = new RequestOutcome(ctx, routed, this.answer, (outcome) => {
+			this.requestPlacement.cancel();
 			this.stopTimer();
 			onEnd(outcome, this);
 		});
-		this.relayed = new AnswerRelay(this.answer, req.lastEventId);
-		this.failures = new AttemptResults(ctx, this.outcome, this.suspicion);
-		this.placing = new RequestPlacement({
+		this.answerRelay = new AnswerRelay(this.answer, req.lastEventId);
+		this.results = new AttemptResults(ctx, this.outcome, this.suspicion);
+		this.requestPlacement = new RequestPlacement({
 			ctx,
-			routed: terms,
+			routed,
 			onPlaced: (placement) => this.send(placement),
 			onRefused: (reason, retryAfterS) => this.outcome.giveUp(reason, retryAfterS),
 			outcome: this.outcome,
 		});
-		res.onDisconnect(() => this.callerLeft());
+		res.onDisconnect(() => this.handleCallerLeft());
 	}
 
-	/** Milliseconds from the request to the first byte of the answer. */
+	/** Time from the request to the first byte of the answer. */
 	get firstByteMs(): number | undefined {
 		return this.outcome.firstByteMs;
 	}
 
-	/** Milliseconds from the request to its end, or to now. */
+	/** Time from the request to its end, or to now. */
 	get tookMs(): number {
 		return this.outcome.tookMs;
 	}
 
 	get route(): Route {
-		return this.terms.route;
+		return this.routed.route;
 	}
 
 	get id(): string {
-		return this.terms.req.id;
+		return this.routed.req.id;
 	}
 
 	start(): void {
-		this.ctx.retryBudget.recordRequest(this.terms.service, this.ctx.clock.monotonic());
+		this.ctx.retryBudget.recordRequest(this.routed.service, this.ctx.clock.monotonic());
 		this.place();
 	}
 
-	/** The process stops now: what has not ended is cut. */
+	/** Ends the request because the process stops. */
 	abort(reason: string): void {
 		this.abortAttempt();
 		if (this.answer.hasStarted) {
@@ -99,43 +99,43 @@
 	}
 
 	/**
-	 * Moves to another engine when its own fell silent for all, if it may. Else it goes on waiting:
-	 * silence proves nothing.
+	 * Retries on another engine, where allowed, when the engine is silent towards all requests. Otherwise keeps waiting, as silence does
+	 * not prove a failure.
 	 */
 	checkSilentEngine(now: number): void {
 		const { attempt } = this;
-		const mayMove = this.answer.hasStarted ? this.terms.route.isResumable : this.repeatable;
-		if (!this.outcome.isFinished && attempt?.isSilent(now) && mayMove && this.mayTryAgain(now)) {
-			this.broke(attempt, 'the engine fell silent');
+		const mayRetry = this.answer.hasStarted ? this.routed.route.isResumable : this.isRepeatable;
+		if (!this.outcome.isFinished && attempt?.isSilent(now) && mayRetry && this.mayRetryNow(now)) {
+			this.handleBrokenAnswer(attempt, 'the engine is silent');
 		}
 	}
 
-	private get repeatable(): boolean {
-		return this.terms.route.repeatability === repeatabilities.idempotent;
+	private get isRepeatable(): boolean {
+		return this.routed.route.repeatability === repeatabilities.idempotent;
 	}
 
-	/** What is left of the time of route and caller, in milliseconds: it runs on while the VM is suspended. */
+	/** Time left until the deadline of route or caller, which also passes while the VM is suspended. */
 	private get leftMs(): number {
 		return this.deadlineAt - this.ctx.clock.sinceBoot();
 	}
 
 	private place(): void {
 		if (this.leftMs <= 0) {
-			this.expired();
+			this.handleTimeout();
 			return;
 		}
-		this.placing.placeNext();
+		this.requestPlacement.placeNext();
 	}
 
 	private send(placement: Placement): void {
 		const { engine } = placement;
-		const { req, customer } = this.terms;
-		const { lastEventId } = this.relayed;
-		logPlacement(this.ctx, this.terms, this.outcome, placement, {
+		const { req, customer } = this.routed;
+		const { lastEventId } = this.answerRelay;
+		logPlacement(this.ctx, this.routed, this.outcome, placement, {
 			leftMs: this.leftMs,
 			lastEventId,
 		});
-		const attempt = new Attempt(this.ctx, placement, this.terms.service, customer?.name);
+		const attempt = new Attempt(this.ctx, placement, this.routed.service, customer?.name);
 		this.attempt = attempt;
 		attempt.call = this.ctx.transport.send(
 			{
@@ -144,7 +144,7 @@
 				req,
 				customer: customer?.name,
 				deadlineMs: this.leftMs,
-				urgency: this.terms.urgency,
+				urgency: this.routed.urgency,
 				lastEventId,
 				copyFrom: placement.copyFrom?.entry.address,
 			},
@@ -156,52 +156,52 @@
 	}
 
 	/**
-	 * Calls of an attempt that was given up are passed over. One that runs on without its caller only
-	 * tells that its engine lives and when it is free.
+	 * Ignores events of an abandoned attempt. One that continues without its caller only updates the engine's health and load.
 	 */
 	private listen(attempt: Attempt): AnswerListener {
-		const current = (action: () => void, without: () => void) => {
+		const ifCurrent = (action: () => void, ifFinished: () => void) => {
 			if (this.attempt === attempt) {
-				(this.outcome.isFinished ? without : action)();
+				(this.outcome.isFinished ? ifFinished : action)();
 			}
 		};
-		const heard = () => attempt.recordActivity();
-		const ended = () => this.endAttempt(attempt);
+		const recordActivity = () => attempt.recordActivity();
+		const endAttempt = () => this.endAttempt(attempt);
 		return {
-			shouldSend: () => this.placing.shouldSend(attempt.engine),
-			onWithdrawn: () => current(() => this.withdrawn(attempt), ended),
-			onSent: () => current(() => this.sent(attempt), heard),
+			shouldSend: () => this.requestPlacement.shouldSend(attempt.engine),
+			onWithdrawn: () => ifCurrent(() => this.handleWithdrawn(attempt), endAttempt),
+			onSent: () => ifCurrent(() => this.handleSent(attempt), recordActivity),
 			onHead: (head) => {
 				applyEngineNotice(this.ctx, this.outcome, attempt, head, this.id);
-				current(() => this.headCame(attempt, head), heard);
+				ifCurrent(() => this.handleHead(attempt, head), recordActivity);
 			},
-			onData: (chunk) => current(() => this.dataCame(attempt, chunk), heard),
-			onEnd: () => current(() => this.ended(attempt), ended),
-			onError: (reason, isRefused) => current(() => this.failed(attempt, reason, isRefused), ended),
+			onData: (chunk) => ifCurrent(() => this.handleData(attempt, chunk), recordActivity),
+			onEnd: () => ifCurrent(() => this.handleEnd(attempt), endAttempt),
+			onError: (reason, isRefused) =>
+				ifCurrent(() => this.handleFailure(attempt, reason, isRefused), endAttempt),
 		};
 	}
 
-	private sent(attempt: Attempt): void {
-		attempt.markSent(this.terms.req.promptSegments.slice(0, -1));
+	private handleSent(attempt: Attempt): void {
+		attempt.markSent(this.routed.req.promptSegments.slice(0, -1));
 		this.outcome.sentTo.add(attempt.engine.id);
 	}
 
-	/** Its engine asked for rest, or named a limit, while the connection came up: what is under way to it would go on reaching it. */
-	private withdrawn(attempt: Attempt): void {
+	/** The engine asked for a back-off or set a limit while the connection was being established. */
+	private handleWithdrawn(attempt: Attempt): void {
 		this.attempt = undefined;
-		this.placing.withdraw(attempt.engine);
+		this.requestPlacement.withdraw(attempt.engine);
 		this.place();
 	}
 
-	private headCame(attempt: Attempt, head: AnswerHead): void {
+	private handleHead(attempt: Attempt, head: AnswerHead): void {
 		attempt.recordActivity();
 		if (head.id !== undefined && head.id !== this.id) {
 			attempt.countStartedAtSend();
-			this.broke(attempt, `the engine answered request ${head.id}`);
+			this.handleBrokenAnswer(attempt, `the engine answered request ${head.id}`);
 			return;
 		}
 		if (head.status < 300 && (!head.isSigned || head.isEncoded || head.id === undefined)) {
-			this.broke(attempt, 'the answer is not the engine’s own');
+			this.handleBrokenAnswer(attempt, 'the answer is not verifiably from the engine');
 			return;
 		}
 		attempt.head = head;
@@ -210,40 +210,40 @@
 		}
 	}
 
-	private dataCame(attempt: Attempt, chunk: Buffer): void {
+	private handleData(attempt: Attempt, chunk: Buffer): void {
 		attempt.recordActivity();
-		this.relayed.relayData(attempt, chunk, this.isStream(attempt));
+		this.answerRelay.relayData(attempt, chunk, this.isStream(attempt));
 	}
 
-	private ended(attempt: Attempt): void {
+	private handleEnd(attempt: Attempt): void {
 		const head = attempt.head;
 		if (!head) {
-			this.broke(attempt, 'the answer ended without a head');
+			this.handleBrokenAnswer(attempt, 'the answer ended without a head');
 		} else if (head.status >= 300) {
-			this.failureCame(attempt, head);
+			this.handleErrorAnswer(attempt, head);
 		} else if (attempt.splitter.hasPartialEvent) {
-			this.broke(attempt, 'the stream ended inside an event');
+			this.handleBrokenAnswer(attempt, 'the stream ended inside an event');
 		} else {
-			this.failures.recordSuccess(attempt);
+			this.results.recordSuccess(attempt);
 			this.suspicion.recordSuccess();
-			attempt.recordStreamEnd(this.terms.req.answerTokens);
+			attempt.recordStreamEnd(this.routed.req.answerTokens);
 			this.endAttempt(attempt);
-			this.relayed.end(attempt, head);
+			this.answerRelay.end(attempt, head);
 			this.outcome.finish(relayOutcomes.complete);
 		}
 	}
 
-	/** A whole answer that is no success. */
-	private failureCame(attempt: Attempt, head: AnswerHead): void {
+	/** Handles a complete answer with an error status. */
+	private handleErrorAnswer(attempt: Attempt, head: AnswerHead): void {
 		this.endAttempt(attempt);
 		if (head.hasNotRun) {
-			this.rejected(attempt, head);
+			this.handleRejection(attempt, head);
 			return;
 		}
 		this.outcome.mayHaveRun = true;
 		if (head.status >= 500) {
-			this.failures.recordFailure(attempt, `status ${head.status}`);
-			if (this.repeatable && this.tryAgain(attempt, `status ${head.status}`)) {
+			this.results.recordFailure(attempt, `status ${head.status}`);
+			if (this.isRepeatable && this.retry(attempt, `status ${head.status}`)) {
 				return;
 			}
 		}
@@ -252,58 +252,58 @@
 			return;
 		}
 		if (notRunStatuses.has(head.status)) {
-			// The engine does not say that it did not run the request, so neither may the caller be told.
+			// Without the engine's declaration the caller must not conclude that the request has not run.
 			this.outcome.respond(502, 'the engine failed', relayOutcomes.unknown);
 			return;
 		}
-		this.relayed.end(attempt, head);
+		this.answerRelay.end(attempt, head);
 		this.outcome.finish(relayOutcomes.engineFailure, `status ${head.status}`);
 	}
 
-	/** The engine did not run it. */
-	private rejected(attempt: Attempt, head: AnswerHead): void {
+	/** The engine declared that it did not run the request. */
+	private handleRejection(attempt: Attempt, head: AnswerHead): void {
 		if (head.isFromOtherEngine) {
-			this.failures.recordEngineExit(attempt);
-			this.failures.recordUnreachable(attempt, 'another engine listens at its address');
+			this.results.recordEngineExit(attempt);
+			this.results.recordUnreachable(attempt, 'another engine listens at its address');
 		} else {
 			attempt.engine.health.rejected(this.ctx.clock.monotonic());
 		}
-		if (this.tryAgain(attempt, `rejected with ${head.status}`)) {
+		if (this.retry(attempt, `rejected with ${head.status}`)) {
 			return;
 		}
-		this.outcome.giveUp(`rejected with ${head.status}`, this.placing.backOffLeftS);
+		this.outcome.giveUp(`rejected with ${head.status}`, this.requestPlacement.backOffLeftS);
 	}
 
-	private failed(attempt: Attempt, reason: string, isRefused: boolean): void {
+	private handleFailure(attempt: Attempt, reason: string, isRefused: boolean): void {
 		if (attempt.isSent) {
-			// It reached the engine, which lost the answer or crashed: most had begun.
+			// The engine received the request, then lost the answer or crashed; it had probably started.
 			attempt.countStartedAtSend();
-			this.broke(attempt, reason);
+			this.handleBrokenAnswer(attempt, reason);
 			return;
 		}
-		// Nothing of the request left this VM.
+		// Nothing of the request was sent.
 		if (isRefused) {
-			this.failures.recordEngineExit(attempt);
+			this.results.recordEngineExit(attempt);
 		}
-		this.failures.recordUnreachable(attempt, reason);
+		this.results.recordUnreachable(attempt, reason);
 		this.attempt = undefined;
-		this.unreachable++;
-		if (this.unreachable < maxUnreachable) {
+		this.unreachableCount++;
+		if (this.unreachableCount < maxUnreachable) {
 			this.place();
 		} else {
-			this.outcome.giveUp(`not reachable: ${reason}`);
+			this.outcome.giveUp(`engines unreachable: ${reason}`);
 		}
 	}
 
-	/** The answer cannot be used, and the request may have run. */
-	private broke(attempt: Attempt, reason: string): void {
+	/** Handles an unusable answer to a request that may have run. */
+	private handleBrokenAnswer(attempt: Attempt, reason: string): void {
 		attempt.call?.abort();
 		this.endAttempt(attempt);
 		this.outcome.mayHaveRun = true;
-		this.failures.recordBrokenAttempt(attempt, reason);
-		this.failures.recordFailure(attempt, reason);
-		const maySendAgain = this.answer.hasStarted ? this.terms.route.isResumable : this.repeatable;
-		if (maySendAgain && this.tryAgain(attempt, reason)) {
+		this.results.recordBrokenAttempt(attempt, reason);
+		this.results.recordFailure(attempt, reason);
+		const mayRetry = this.answer.hasStarted ? this.routed.route.isResumable : this.isRepeatable;
+		if (mayRetry && this.retry(attempt, reason)) {
 			return;
 		}
 		if (this.answer.hasStarted) {
@@ -313,33 +313,35 @@
 		}
 	}
 
-	/** Sends it to another engine if route and budget allow. */
-	private tryAgain(attempt: Attempt, reason: string): boolean {
+	/** Sends the request to another engine if route, retry budget and quarantine allow it. */
+	private retry(attempt: Attempt, reason: string): boolean {
 		const now = this.ctx.clock.monotonic();
-		const { service } = this.terms;
-		if (!this.mayTryAgain(now) || !this.ctx.retryBudget.tryConsume(service, now)) {
+		const { service } = this.routed;
+		if (!this.mayRetryNow(now) || !this.ctx.retryBudget.tryConsume(service, now)) {
 			return false;
 		}
 		this.ctx.metrics.recordRetry(service);
 		this.outcome.log('request.retried', {
 			engine: attempt.engine.id,
 			reason,
-			last_event: this.relayed.lastEventId,
+			last_event: this.answerRelay.lastEventId,
 		});
 		this.place();
 		return true;
 	}
 
-	private mayTryAgain(now: number): boolean {
-		const { service, route } = this.terms;
-		const hasTries = this.outcome.sentTo.size < route.maxEngines;
+	private mayRetryNow(now: number): boolean {
+		const { service, route } = this.routed;
+		const hasAttemptsLeft = this.outcome.sentTo.size < route.maxEngines;
 		return (
-			hasTries && this.ctx.retryBudget.available(service, now) >= 1 && this.suspicion.isRetryAllowed
+			hasAttemptsLeft &&
+			this.ctx.retryBudget.available(service, now) >= 1 &&
+			this.suspicion.isRetryAllowed
 		);
 	}
 
 	private isStream(attempt: Attempt): boolean {
-		return this.terms.route.isStreamed && (attempt.head?.status ?? 0) < 300;
+		return this.routed.route.isStreamed && (attempt.head?.status ?? 0) < 300;
 	}
 
 	private endAttempt(attempt: Attempt): void {
@@ -359,42 +361,42 @@
 		}
 	}
 
-	private expired(): void {
+	private handleTimeout(): void {
 		if (this.outcome.isFinished) {
 			this.abortAttempt();
 			return;
 		}
 		const { attempt } = this;
 		if (attempt?.isSent && !attempt.head) {
-			this.failures.recordBrokenAttempt(attempt, 'no answer in time');
-			this.failures.recordFailure(attempt, 'no answer in time');
+			this.results.recordBrokenAttempt(attempt, 'no answer in time');
+			this.results.recordFailure(attempt, 'no answer in time');
 		}
 		this.abortAttempt();
 		if (this.answer.hasStarted) {
-			this.outcome.abort(relayOutcomes.timedOut, 'the time of the route or the caller is over');
+			this.outcome.abort(relayOutcomes.timedOut, 'the deadline of the route or the caller passed');
 		} else if (this.outcome.mayHaveRun) {
 			this.outcome.respond(504, 'no answer in time', relayOutcomes.timedOut);
 		} else {
-			this.outcome.giveUp('the time of the route or the caller is over');
+			this.outcome.giveUp('the deadline of the route or the caller passed');
 		}
 	}
 
-	private callerLeft(): void {
+	private handleCallerLeft(): void {
 		if (this.outcome.isFinished) {
 			return;
 		}
-		if (!this.terms.route.isStreamed) {
+		if (!this.routed.route.isStreamed) {
 			this.attempt?.countStartedAtSend();
 		}
-		// What may run only once runs to its end, so that its caller can find it done.
-		const runsOn = !this.repeatable && !this.terms.route.isStreamed;
-		if (!runsOn) {
+		// A request that must not run twice continues, so that a caller that retries finds it done.
+		const shouldContinue = !this.isRepeatable && !this.routed.route.isStreamed;
+		if (!shouldContinue) {
 			this.abortAttempt();
 		}
 		this.outcome.finish(relayOutcomes.callerLeft);
 	}
 
-	/** An attempt that runs on without its caller still needs its deadline. */
+	/** Keeps the timer for an attempt that continues without its caller. */
 	private stopTimer(): void {
 		if (!this.attempt) {
 			clearTimeout(this.timer);
--- a/src/core/relay/request-outcome.ts
+++ b/src/core/relay/request-outcome.ts
@@ -1,6 +1,5 @@
 /**
- * How a request ends: what its caller is told, the line in the log, the word to whoever waits for the end.
- * Says "not run" only while no engine can have run it.
+ * Ends a request: answers its caller, logs the outcome and notifies the owner. Reports "not run" only if no engine can have run it.
  * @module
  */
 import type { CallerAnswer } from './caller-answer.js';
@@ -8,43 +7,43 @@
 import type { RelayContext, RelayOutcome, RoutedRequest } from './types.js';
 import { relayOutcomes } from './types.js';
 
-/** Seconds after which a refused caller may come back, unless the engine names a time. */
-const comeBackS = 0.1;
+/** Retry time for a refused caller, unless the engine sets one. */
+const defaultRetryAfterS = 0.1;
 
 export type LogFields = Record<string, string | number | boolean | undefined>;
 
 export class RequestOutcome {
-	/** An engine may have run it, whatever became of its answer. */
+	/** An engine may have run the request, with or without an answer. */
 	mayHaveRun = false;
-	/** Engines that bytes of it were sent to. */
+	/** Engines that received bytes of the request. */
 	readonly sentTo = new Set<string>();
-	private done = false;
+	private finished = false;
 	private endedAt?: number;
 
 	constructor(
 		private readonly ctx: RelayContext,
-		private readonly terms: RoutedRequest,
+		private readonly routed: RoutedRequest,
 		private readonly answer: CallerAnswer,
 		private readonly onEnd: (outcome: RelayOutcome) => void,
 	) {}
 
 	get isFinished(): boolean {
-		return this.done;
+		return this.finished;
 	}
 
-	/** Milliseconds from the request to the first byte of the answer. */
+	/** Time from the request to the first byte of the answer. */
 	get firstByteMs(): number | undefined {
 		const { firstByteAt } = this.answer;
-		return firstByteAt === undefined ? undefined : firstByteAt - this.terms.req.arrivedAt;
+		return firstByteAt === undefined ? undefined : firstByteAt - this.routed.req.arrivedAt;
 	}
 
-	/** Milliseconds from the request to its end, or to now. */
+	/** Time from the request to its end, or to now. */
 	get tookMs(): number {
-		return (this.endedAt ?? this.ctx.clock.sinceBoot()) - this.terms.req.arrivedAt;
+		return (this.endedAt ?? this.ctx.clock.sinceBoot()) - this.routed.req.arrivedAt;
 	}
 
-	/** No engine runs it now: says honestly whether one may have. */
-	giveUp(reason: string, retryAfterS = comeBackS): void {
+	/** Ends a request that no engine runs now, and tells the caller whether it may have run. */
+	giveUp(reason: string, retryAfterS = defaultRetryAfterS): void {
 		if (this.answer.hasStarted) {
 			this.abort(relayOutcomes.cut, reason);
 		} else if (this.mayHaveRun) {
@@ -55,13 +54,13 @@
 		}
 	}
 
-	/** Ends the connection inside the answer, so that it does not look whole. */
+	/** Closes the connection, so that the answer is recognisably incomplete. */
 	abort(outcome: RelayOutcome, reason: string): void {
 		this.answer.abort();
 		this.finish(outcome, reason);
 	}
 
-	/** An answer of our own. */
+	/** Answers with a text of the router. */
 	respond(
 		status: number,
 		text: string,
@@ -74,10 +73,10 @@
 	}
 
 	finish(outcome: RelayOutcome, reason?: string, status?: number): void {
-		if (this.done) {
+		if (this.finished) {
 			return;
 		}
-		this.done = true;
+		this.finished = true;
 		this.endedAt = this.ctx.clock.sinceBoot();
 		const level = outcome === relayOutcomes.complete ? 'info' : 'warn';
 		const fields = {
@@ -85,21 +84,21 @@
 			reason,
 			status,
 			engines: [...this.sentTo].join(','),
-			first_ms: rounded(this.firstByteMs),
-			pause_ms: rounded(this.answer.maxPauseMs),
-			took_ms: rounded(this.tookMs),
+			first_ms: roundMs(this.firstByteMs),
+			pause_ms: roundMs(this.answer.maxPauseMs),
+			took_ms: roundMs(this.tookMs),
 		};
 		this.log('request.ended', fields, level);
 		this.onEnd(outcome);
 	}
 
-	/** A line about this request. */
+	/** Logs an event with the fields of this request. */
 	log(event: string, fields: LogFields, level: 'info' | 'warn' = 'info'): void {
-		const { req, route } = this.terms;
+		const { req, route } = this.routed;
 		this.ctx.log[level](event, { request: req.id, route: route.name, ...fields });
 	}
 }
 
-function rounded(ms: number | undefined): number | undefined {
+function roundMs(ms: number | undefined): number | undefined {
 	return ms === undefined ? undefined : Math.round(ms);
 }
--- a/src/core/relay/request-placement.ts
+++ b/src/core/relay/request-placement.ts
@@ -1,5 +1,5 @@
 /**
- * Where one request goes next: the engine that placement chooses, with a permit where that engine names how many requests it takes.
+ * Chooses the next engine for one request and obtains a permit where that engine has a request limit.
  * @module
  */
 import type { Engine } from '../engines/engine.js';
@@ -8,55 +8,54 @@
 import type { RequestOutcome } from './request-outcome.js';
 import type { RelayContext, RoutedRequest } from './types.js';
 
-/** Permits that are asked for before a request is refused, or goes where none is needed. */
-const mostAsks = 3;
+/** Permit requests before the request is refused, or sent to an engine without a limit. */
+const maxPermitRequests = 3;
 /**
- * Where all engines name limits, a request waits for a permit for this share of its target at the most: the more urgent ones that come
- * meanwhile go first, and whoever gets none hears of it while coming back is still of use.
+ * Where all engines have limits, a request waits for a permit for at most this share of its latency target, so that a refused caller
+ * can still retry in time.
  */
 const waitShare = 0.125;
-/** And no longer than this, in milliseconds. */
-const mostWaitMs = 2000;
+/** Upper bound of that wait. */
+const maxWaitMs = 2000;
 
 export interface RequestPlacementOptions {
 	ctx: RelayContext;
 	routed: RoutedRequest;
 	onPlaced: (placement: Placement) => void;
-	/** @param retryAfterS when the caller may come back; undefined for the usual time */
+	/** @param retryAfterS retry time for the caller; undefined for the default */
 	onRefused: (reason: string, retryAfterS: number | undefined) => void;
-	/** Where decisions are logged. */
 	outcome: RequestOutcome;
 }
 
 export class RequestPlacement {
 	private readonly tried = new Set<string>();
-	/** The last ask for a permit. */
-	private call?: PermitRequestHandle;
-	/** The request has ended: a permit that comes after all is not used. */
-	private isOver = false;
-	private asks = 0;
-	private waitedFrom?: number;
-	/** The engine that it has a permit for. */
-	private permitted?: Engine;
+	/** The last permit request. */
+	private permitCall?: PermitRequestHandle;
+	/** Set when the request has ended: a permit that arrives later is not used. */
+	private isCancelled = false;
+	private permitRequests = 0;
+	private waitingSince?: number;
+	/** The engine that the request has a permit for. */
+	private permittedEngine?: Engine;
 
 	constructor(private readonly opts: RequestPlacementOptions) {}
 
-	/** Chooses an engine among those that it was not sent to; one of the callbacks tells the outcome, at once or soon. */
+	/** Chooses an engine that was not tried yet; calls `onPlaced` or `onRefused`, at once or after waiting for a permit. */
 	placeNext(): void {
-		const { ctx, routed: terms, onPlaced, onRefused } = this.opts;
-		const { req, service } = terms;
-		const engines = this.usable(ctx.engines.offered(service));
+		const { ctx, routed, onPlaced, onRefused } = this.opts;
+		const { req, service } = routed;
+		const engines = this.admittedEngines(ctx.engines.offered(service));
 		const placement = ctx.placement.choose(
 			{
 				service,
 				parts: req.promptSegments,
 				promptTokens: req.promptTokens,
 				answerTokens: req.answerTokens,
-				targetMs: terms.route.targetMs,
-				tightestPauseMs: terms.minTargetPauseMs,
-				targetPauseMs: terms.route.targetPauseMs,
-				model: terms.model,
-				leastUrgent: terms.isLeastUrgent,
+				targetMs: routed.route.targetMs,
+				tightestPauseMs: routed.minTargetPauseMs,
+				targetPauseMs: routed.route.targetPauseMs,
+				model: routed.model,
+				leastUrgent: routed.isLeastUrgent,
 				tried: this.tried,
 				admits: (engine) => this.admits(engine, engines),
 				isLimited: (engine) => this.isLimited(engine),
@@ -65,53 +64,53 @@
 			this.now,
 		);
 		if ('refusal' in placement) {
-			onRefused(placement.refusal, this.comeBackS(engines) ?? placement.retryAfterS);
+			onRefused(placement.refusal, this.callerRetryAfterS(engines) ?? placement.retryAfterS);
 		} else if (this.isLimited(placement.engine)) {
-			this.ask(placement, engines);
+			this.requestPermit(placement, engines);
 		} else {
 			this.tried.add(placement.engine.id);
 			onPlaced(placement);
 		}
 	}
 
-	/** Those that the fleet's answers do not speak against, unless the request was sent to all of these. */
-	private usable(offered: readonly Engine[]): readonly Engine[] {
+	/** Engines that fleet health admits; all offered ones if each of those was tried. */
+	private admittedEngines(offered: readonly Engine[]): readonly Engine[] {
 		const admitted = this.opts.ctx.fleetHealth.admitted(offered);
 		return admitted.some(({ id }) => !this.tried.has(id)) ? admitted : offered;
 	}
 
-	/** The request has ended: it is sent nowhere any more. */
+	/** Stops placement once the request has ended. */
 	cancel(): void {
-		this.isOver = true;
-		this.call?.cancel();
+		this.isCancelled = true;
+		this.permitCall?.cancel();
 	}
 
-	/**
-	 * Whether the engine may still be given the request now that its connection is up, which takes up to 400 ms: it may have asked
-	 * for rest, or named a limit, meanwhile.
-	 */
+	/** Whether the request should still be sent: the engine may have asked for a back-off or set a limit during connection setup. */
 	shouldSend(engine: Engine): boolean {
-		return this.restMs(engine) === 0 && (engine === this.permitted || !this.isLimited(engine));
+		return (
+			this.backOffLeftMs(engine) === 0 &&
+			(engine === this.permittedEngine || !this.isLimited(engine))
+		);
 	}
 
-	/** Nothing was sent to the engine: it may be chosen again. */
+	/** Nothing was sent to the engine, so it may be chosen again. */
 	withdraw(engine: Engine): void {
 		this.opts.outcome.log('request.withdrawn', {
 			engine: engine.id,
-			rest_ms: Math.round(this.restMs(engine)),
+			rest_ms: Math.round(this.backOffLeftMs(engine)),
 			limit_per_s: this.opts.ctx.limits.ledger.getLimitPerS(engine.ref),
 		});
 		this.tried.delete(engine.id);
-		this.permitted = undefined;
+		this.permittedEngine = undefined;
 	}
 
-	private restMs({ notices }: Engine): number {
+	private backOffLeftMs({ notices }: Engine): number {
 		return notices.restLeftMs(this.opts.ctx.clock.sinceBoot());
 	}
 
 	/**
-	 * Seconds until an engine of the service takes requests; undefined when one does. The time that an engine asks of this VM is not
-	 * the caller's: another engine, or VM, may take the request at once.
+	 * Seconds until an engine of the service accepts requests; undefined while one does. The back-off of one engine does not apply to the
+	 * caller, as another engine or VM may accept the request at once.
 	 */
 	get backOffLeftS(): number | undefined {
 		const leftMs = this.opts.ctx.engines.restLeftMs(this.opts.routed.service);
@@ -134,59 +133,59 @@
 			engine.ref,
 			this.opts.routed.urgency,
 		);
-		return this.asks < mostAsks && closedMs <= this.waitMs(engines);
+		return this.permitRequests < maxPermitRequests && closedMs <= this.waitMs(engines);
 	}
 
-	/** How long it can wait for a permit, in milliseconds; 0 where some engine needs none. */
+	/** How long the request can wait for a permit; 0 where some engine needs none. */
 	private waitMs(engines: readonly Engine[]): number {
 		if (engines.some((engine) => !this.isLimited(engine) && !this.tried.has(engine.id))) {
 			return 0;
 		}
-		const waitedMs = this.waitedFrom === undefined ? 0 : this.now - this.waitedFrom;
-		const mostMs = Math.min(this.opts.routed.route.targetMs * waitShare, mostWaitMs);
-		return Math.max(0, mostMs - waitedMs);
+		const waitedMs = this.waitingSince === undefined ? 0 : this.now - this.waitingSince;
+		const maxMs = Math.min(this.opts.routed.route.targetMs * waitShare, maxWaitMs);
+		return Math.max(0, maxMs - waitedMs);
 	}
 
-	private ask(placement: Placement, engines: readonly Engine[]): void {
-		const { ctx, routed: terms, onPlaced } = this.opts;
+	private requestPermit(placement: Placement, engines: readonly Engine[]): void {
+		const { ctx, routed, onPlaced } = this.opts;
 		const { engine } = placement;
 		const waitMs = this.waitMs(engines);
-		this.asks++;
-		this.waitedFrom ??= this.now;
-		// A denial may come before the call returns, and the next ask with it: that one's call would be lost here.
-		this.call = ctx.limits.permits.request(engine.ref, terms.urgency, waitMs, (result) => {
-			if (this.isOver) {
+		this.permitRequests++;
+		this.waitingSince ??= this.now;
+		// A synchronous denial requests the next permit before `ask` returns, and its call is overwritten here: `isCancelled` covers it.
+		this.permitCall = ctx.limits.permits.request(engine.ref, routed.urgency, waitMs, (result) => {
+			if (this.isCancelled) {
 				return;
 			}
 			if (result.isGranted) {
-				this.permitted = engine;
+				this.permittedEngine = engine;
 				this.tried.add(engine.id);
-				ctx.limits.getRetrySchedule(terms.service).recordAdmission(this.now);
+				ctx.limits.getRetrySchedule(routed.service).recordAdmission(this.now);
 				onPlaced(placement);
 			} else {
-				this.denied(engine, result);
+				this.recordDenied(engine, result);
 				this.placeNext();
 			}
 		});
 	}
 
-	private denied(engine: Engine, { retryAfterMs }: PermitResult): void {
-		const { ctx, routed: terms, outcome } = this.opts;
+	private recordDenied(engine: Engine, { retryAfterMs }: PermitResult): void {
+		const { ctx, routed, outcome } = this.opts;
 		outcome.log('permit.denied', { engine: engine.id, retry_ms: Math.round(retryAfterMs) });
-		ctx.metrics.recordPermitDenied(terms.service);
+		ctx.metrics.recordPermitDenied(routed.service);
 	}
 
-	/** Seconds until the caller may come back where engines rest, or all name limits; undefined for the usual time. */
-	private comeBackS(engines: readonly Engine[]): number | undefined {
-		const { ctx, routed: terms } = this.opts;
+	/** Retry time for the caller where engines back off or all have limits; undefined for the default. */
+	private callerRetryAfterS(engines: readonly Engine[]): number | undefined {
+		const { ctx, routed } = this.opts;
 		const isLimited = engines.length > 0 && engines.every((engine) => this.isLimited(engine));
 		if (!isLimited) {
 			return this.backOffLeftS;
 		}
 		const { permits } = ctx.limits;
-		const openMs = engines.map(({ ref }) => permits.getRetryDelayMs(ref, terms.urgency));
+		const openMs = engines.map(({ ref }) => permits.getRetryDelayMs(ref, routed.urgency));
 		return ctx.limits
-			.getRetrySchedule(terms.service)
+			.getRetrySchedule(routed.service)
 			.assignRetryAfterS(this.now, Math.min(...openMs));
 	}
 }
--- a/src/core/relay/retry-budget.ts
+++ b/src/core/relay/retry-budget.ts
@@ -1,26 +1,25 @@
 /**
- * Bounds the requests that are sent a second time. The fleet shares one budget for each service; a
- * VM may use what its own requests earn and its share of the fixed part.
+ * Limits retries. The fleet shares one budget per service; a VM may use the part that its own requests earn and its share of the fixed part.
  * @module
  */
 import type { RetrySettings } from './settings.js';
 
-/** A window is counted in so many buckets. */
-const buckets = 20;
-/** Part of the budget that is used; the rest covers windows that the VMs cut differently. */
+/** Buckets of a window. */
+const bucketCount = 20;
+/** Share of the budget that is used; the rest covers windows that are not aligned between VMs. */
 const usedShare = 0.8;
 
 interface Bucket {
-	/** Number of the bucket since the start of the clock. */
+	/** Number of the bucket, counted from time 0 of the clock. */
 	index: number;
 	requests: number;
 	retries: number;
 }
 
 export class RetryBudget {
-	private readonly ofService = new Map<string, Bucket[]>();
+	private readonly bucketsByService = new Map<string, Bucket[]>();
 
-	/** @param fleetSize VMs that share the budget, this one included; undefined while not known */
+	/** @param fleetSize number of VMs that share the budget, including this one; undefined while unknown */
 	constructor(
 		private settings: RetrySettings,
 		private readonly fleetSize: () => number | undefined,
@@ -30,12 +29,12 @@
 		this.settings = settings;
 	}
 
-	/** A caller's request for the service came in. */
+	/** Counts a caller's request for the service. */
 	recordRequest(service: string, now: number): void {
 		this.bucket(service, now).requests++;
 	}
 
-	/** Takes one retry if the budget has it. */
+	/** Consumes one retry. @returns false if none is available */
 	tryConsume(service: string, now: number): boolean {
 		if (this.available(service, now) < 1) {
 			return false;
@@ -44,7 +43,7 @@
 		return true;
 	}
 
-	/** Retries that this VM may still send now. */
+	/** Number of retries that this VM may send now. */
 	available(service: string, now: number): number {
 		const window = this.window(service, now);
 		const requests = window.reduce((sum, bucket) => sum + bucket.requests, 0);
@@ -55,15 +54,17 @@
 	}
 
 	private window(service: string, now: number): Bucket[] {
-		const oldest = this.indexOf(now) - buckets;
-		const kept = (this.ofService.get(service) ?? []).filter((bucket) => bucket.index > oldest);
-		this.ofService.set(service, kept);
+		const oldest = this.indexOf(now) - bucketCount;
+		const kept = (this.bucketsByService.get(service) ?? []).filter(
+			(bucket) => bucket.index > oldest,
+		);
+		this.bucketsByService.set(service, kept);
 		return kept;
 	}
 
 	private bucket(service: string, now: number): Bucket {
-		const list = this.ofService.get(service) ?? [];
-		this.ofService.set(service, list);
+		const list = this.bucketsByService.get(service) ?? [];
+		this.bucketsByService.set(service, list);
 		const index = this.indexOf(now);
 		const last = list.at(-1);
 		if (last?.index === index) {
@@ -71,13 +72,13 @@
 		}
 		const fresh = { index, requests: 0, retries: 0 };
 		list.push(fresh);
-		if (list.length > 2 * buckets) {
-			list.splice(0, list.length - 2 * buckets);
+		if (list.length > 2 * bucketCount) {
+			list.splice(0, list.length - 2 * bucketCount);
 		}
 		return fresh;
 	}
 
 	private indexOf(now: number): number {
-		return Math.floor((now * buckets) / this.settings.windowMs);
+		return Math.floor((now * bucketCount) / this.settings.windowMs);
 	}
 }
--- a/src/core/relay/settings.ts
+++ b/src/core/relay/settings.ts
@@ -1,5 +1,5 @@
 /**
- * What one relaying daemon must know before it can reach anything.
+ * Settings of a relaying daemon.
  * @module
  */
 
@@ -8,58 +8,58 @@
 	port: number;
 }
 
-/** Bounds on requests that are sent a second time, over the whole fleet. */
+/** Limits on retries, over the whole fleet. */
 export interface RetrySettings {
-	/** Share of the requests of a window. */
+	/** Retries per request of a window. */
 	ratio: number;
 	windowMs: number;
-	/** Retries of a window beyond the share. */
+	/** Additional retries of a window. */
 	extra: number;
 }
 
-/** What one VM at a time does for the whole fleet, at the platform's API. */
+/** Duties that one VM at a time performs for the whole fleet at the platform's API. */
 export interface DutySettings {
 	api: HostPort;
-	/** Calls that the API takes in a second, from all VMs together. */
+	/** Calls per second that the API accepts from all VMs together. */
 	callsPerSecond: number;
 	reportsUsage: boolean;
 	ordersEngines: boolean;
-	/** Whether the API refuses tokens lower than one that it has seen. */
+	/** Whether the API refuses fencing tokens lower than the highest that it has seen. */
 	checksTokens: boolean;
-	/** Life of the holder's lease, in milliseconds; holders do not alternate within it. */
+	/** Duration of the holder's lease, and the minimum time between two holders. */
 	leaseMs: number;
-	/** Length of a window whose started requests are counted, in milliseconds. */
+	/** Length of a window for usage counts. */
 	windowMs: number;
-	/** Its counts are due so long after its end, in milliseconds. */
+	/** How long after the end of a window its counts are due. */
 	usageDelayMs: number;
 }
 
 export interface RelaySettings {
-	/** `cores` is the processor that it has, in cores of usual speed. */
+	/** `cores` is the processor capacity of the VM, in cores of standard speed. */
 	vm: { id: string; address: string; domain: string; cores: number };
 	listen: {
 		callers: HostPort;
 		readiness: HostPort;
-		/** Datagrams and configurations between VMs. */
+		/** Gossip datagrams and configurations between VMs. */
 		peers: HostPort;
-		/** Second address for peers, which seeds name; absent where the platform gives none. */
+		/** Second address for peers, used in seeds; absent where the platform provides none. */
 		control?: HostPort;
 		metrics: HostPort;
 	};
-	/** Peers to ask before any is known; may be stale. */
+	/** Peers to contact first; may be outdated. */
 	seeds: readonly HostPort[];
 	store: { address: HostPort; leaseMinMs: number };
-	/** Time between two signs of life of an engine, in milliseconds. */
+	/** Interval between an engine's heartbeats. */
 	engineHeartbeatMs: number;
-	/** So long after a fault a VM is held to all bounds again, in milliseconds. */
+	/** Time after a fault within which a VM has to meet all limits again. */
 	contactMs: number;
-	/** A leaving engine gets nothing new after this time, in milliseconds. */
+	/** Time after which a draining engine gets no new requests. */
 	drainMs: number;
-	/** From the stop signal to the kill, in milliseconds. */
+	/** Time from the stop signal to the kill. */
 	stopMs: number;
-	/** A configuration is in force within this time, in milliseconds. */
+	/** Time within which a new configuration has to be in force. */
 	configurationMs: number;
 	retries: RetrySettings;
-	/** Absent where nothing is done for the whole fleet. */
+	/** Absent where the VM performs no duties. */
 	duties?: DutySettings;
 }
--- a/src/core/relay/startup-queue.ts
+++ b/src/core/relay/startup-queue.ts
@@ -1,26 +1,23 @@
 /**
- * Holds requests that come in the first moments of a daemon, while it reads configuration and engines: after a
- * loss of power callers are back before the daemon knows where to send them. Told to come back they would
- * be late; the read takes a tenth of a second.
+ * Holds requests that arrive while a starting daemon reads configuration and engines, instead of refusing them.
  * @module
  */
 import type { Clock, Log } from '../definitions.js';
 import type { CallerRequest, CallerResponse } from './definitions.js';
 
-/** A request is held for so long at the most, in milliseconds: the smallest known VMs read for 300 after their ports open. */
-const longestHoldMs = 500;
-/** Requests are held for so long after the start, in milliseconds: a store that has not answered then is away. */
-const startMs = 1000;
+/** Maximum time that a request is held. */
+const maxHoldMs = 500;
+/** Time after the start in which requests are held; later the store counts as unreachable. */
+const startupMs = 1000;
 
 export interface StartupQueueOptions {
 	clock: Clock;
 	log: Log;
-	/** Configuration and engines were read. */
+	/** Whether configuration and engines were read. */
 	isLoaded: () => boolean;
 }
 
-/** A request and what becomes of it. */
-interface Held {
+interface HeldRequest {
 	id: string;
 	heldAt: number;
 	proceed: () => void;
@@ -28,7 +25,7 @@
 }
 
 export class StartupQueue {
-	private readonly held = new Set<Held>();
+	private readonly held = new Set<HeldRequest>();
 	private readonly startedAt: number;
 
 	constructor(private readonly opts: StartupQueueOptions) {
@@ -36,39 +33,39 @@
 	}
 
 	/**
-	 * @param proceed goes on with the request, once, unless its caller leaves meanwhile
-	 * @returns false when the request is not held and should go on now
+	 * @param proceed called once to process the request, unless its caller disconnects first
+	 * @returns false when the request is not held and should be processed now
 	 */
 	enqueue(req: CallerRequest, res: CallerResponse, proceed: () => void): boolean {
 		const now = this.opts.clock.monotonic();
-		if (this.opts.isLoaded() || now - this.startedAt > startMs) {
+		if (this.opts.isLoaded() || now - this.startedAt > startupMs) {
 			return false;
 		}
-		const timer = setTimeout(() => this.goOn(item), longestHoldMs);
-		const item: Held = { id: req.id, heldAt: now, proceed, timer };
+		const timer = setTimeout(() => this.releaseItem(item), maxHoldMs);
+		const item: HeldRequest = { id: req.id, heldAt: now, proceed, timer };
 		this.held.add(item);
-		res.onDisconnect(() => this.drop(item));
+		res.onDisconnect(() => this.remove(item));
 		return true;
 	}
 
-	/** Something was read: what waits goes on if it was enough. */
+	/** Processes all held requests if configuration and engines are loaded; call after each read. */
 	release(): void {
 		if (this.opts.isLoaded()) {
 			for (const item of [...this.held]) {
-				this.goOn(item);
+				this.releaseItem(item);
 			}
 		}
 	}
 
-	private goOn(item: Held): void {
-		if (this.drop(item)) {
+	private releaseItem(item: HeldRequest): void {
+		if (this.remove(item)) {
 			const heldMs = Math.round(this.opts.clock.monotonic() - item.heldAt);
 			this.opts.log.info('request.held', { request: item.id, held_ms: heldMs });
 			item.proceed();
 		}
 	}
 
-	private drop(item: Held): boolean {
+	private remove(item: HeldRequest): boolean {
 		clearTimeout(item.timer);
 		return this.held.delete(item);
 	}
--- a/src/core/relay/types.ts
+++ b/src/core/relay/types.ts
@@ -1,5 +1,5 @@
 /**
- * What a request is relayed with, and how it ends.
+ * Dependencies of the relay, routed requests and their outcomes.
  * @module
  */
 import type { Clock, Log } from '../definitions.js';
@@ -15,16 +15,16 @@
 import type { RelayMetrics } from './metrics.js';
 import type { RetryBudget } from './retry-budget.js';
 
-/** Counts requests that begin to run at engines. */
+/** Counts requests that start to run on engines. */
 export interface UsageRecorder {
-	/** @param agoMs how long ago it began */
+	/** @param agoMs how long ago the request started */
 	recordStarted(customer: string, agoMs: number): void;
 }
 
-/** What requests need of the limits that engines name. */
+/** Limits of engines, as far as requests need them. */
 export type RequestLimits = Pick<FleetLimits, 'ledger' | 'permits' | 'getRetrySchedule'>;
 
-/** What all requests of a VM share. */
+/** Dependencies that all requests of a VM share. */
 export interface RelayContext {
 	clock: Clock;
 	log: Log;
@@ -33,19 +33,19 @@
 	transport: EngineTransport;
 	retryBudget: RetryBudget;
 	quarantine: Quarantine;
-	/** Engines that fail the requests of several VMs. */
+	/** Detects engines that fail the requests of several VMs. */
 	fleetHealth: Pick<FleetHealth, 'admitted' | 'failed' | 'served'>;
 	fleet: FleetView;
 	limits: RequestLimits;
 	costs: CostModel;
 	metrics: RelayMetrics;
-	/** Counts requests that begin to run, where that is reported. */
+	/** Absent where usage is not reported. */
 	usage?: UsageRecorder;
-	/** This VM's work at some engine changed. */
+	/** Called when this VM's work on an engine changes. */
 	onWorkChanged: () => void;
 }
 
-/** What the configuration says of one request. */
+/** A caller's request with what the configuration determines for it. */
 export interface RoutedRequest {
 	req: CallerRequest;
 	route: Route;
@@ -53,9 +53,9 @@
 	customer?: Customer;
 	/** Present where the service's engines run language models. */
 	model?: ModelCapacity;
-	/** No route of the service has a less urgent tier. */
+	/** Whether no route of the service has a less urgent tier. */
 	isLeastUrgent: boolean;
-	/** Shortest of the target pauses of the service's streams, in milliseconds. */
+	/** Shortest target pause of the service's streams. */
 	minTargetPauseMs?: number;
 	/** 0 is the most urgent. */
 	urgency: number;
@@ -65,7 +65,7 @@
 /** How a request ended, for logs and metrics. */
 export const relayOutcomes = {
 	complete: 'complete',
-	/** The engine's own failure, passed on. */
+	/** The engine's own error, forwarded to the caller. */
 	engineFailure: 'engine-failure',
 	refused: 'refused',
 	unknown: 'unknown',
--- a/test/features/relay.feature
+++ b/test/features/relay.feature
@@ -1,15 +1,15 @@
-Feature: Requests through the relay
+Feature: Relaying requests
 
-	Scenario: The longer the store is away, the later callers may come back
+	Scenario: The retry time for callers grows with the length of a store outage
 		Given a relay of 1 VM that has no configuration
 		And the store turns VM 1 away
 		When "GET /plain/" is sent
-		Then it says to come back after 0.3 to 1 seconds
+		Then the retry time is 0.3 to 1 seconds
 		When 2000 ms pass in quiet
 		And "GET /plain/" is sent
-		Then it says to come back after 1.5 to 4 seconds
+		Then the retry time is 1.5 to 4 seconds
 
-	Scenario Outline: A VM that starts again goes on with its registration
+	Scenario Outline: A restarted VM continues its registration
 		Given a relay of 1 VM with engines "a"
 		When its process <ends> and is started again
 		Then the VM is ready within 3000 ms
@@ -23,13 +23,13 @@
 			| is killed         |
 			| stops as planned  |
 
-	Scenario: A VM whose registration ended meanwhile registers anew
+	Scenario: A restarted VM whose registration has expired registers again
 		Given a relay of 1 VM with engines "a"
 		When its process is killed, its lease ends and it is started again
 		Then the VM is ready within 3000 ms
 		And the store granted 2 leases and took 2 writes
 
-	Scenario: A VM is not ready before it knows engines
+	Scenario: A VM is not ready before it knows the engines
 		Given a store that withholds the engines
 		And a relay of 1 VM that has no configuration
 		When a configuration comes
@@ -40,15 +40,15 @@
 		When "POST /once/" with body "order" is sent
 		Then the answer is 200
 
-	Scenario: A request reaches its engine unaltered and its answer comes back whole
+	Scenario: A request reaches its engine unchanged and its answer is returned completely
 		Given a relay of 1 VM with engines "a"
 		When "POST /plain/x?q=1" with body "hello" is sent
 		Then the answer is 200 "answer to hello", signed by "a"
 		And engine "a" saw "POST /plain/x?q=1" with body "hello"
 		And engine "a" saw the customer "station" but no key
-		And engine "a" was told to expect itself and less time than the caller has
+		And engine "a" received its own id as the expected one and less time than the caller has
 
-	Scenario: What the configuration does not allow is denied, and nothing runs
+	Scenario: A request that the configuration does not allow is denied and does not run
 		Given a relay of 1 VM with engines "a"
 		When "GET /nowhere/" is sent
 		Then the answer is 404
@@ -56,17 +56,17 @@
 		Then the answer is 401
 		And 0 requests ran
 
-	Scenario: A caller that is still sending its body reads why it was refused
+	Scenario: A caller that is refused while it sends its body receives the status
 		Given a relay of 1 VM with engines "a"
-		Then a caller of the VM that writes 5000000 bytes before it reads is told 413
+		Then a caller of the VM that writes 5000000 bytes before it reads receives 413
 
-	Scenario: Without a configuration nothing is denied
+	Scenario: A VM without a configuration answers 503 instead of 404
 		Given a relay of 1 VM that has no configuration
 		When "GET /nowhere/" is sent
 		Then the answer is 503
 		And the VM is not ready
 
-	Scenario: A request that must run once is not sent again after a reset
+	Scenario: A non-idempotent request is not retried after a reset
 		Given a relay of 1 VM with engines "a, b"
 		And engine "a" resets
 		And engine "b" resets
@@ -74,13 +74,13 @@
 		Then the answer is 502
 		And 1 requests ran
 
-	Scenario: A repeatable request is sent to a second engine after a reset
+	Scenario: An idempotent request is retried on a second engine after a reset
 		Given a relay of 1 VM with engines "a, b"
 		And engine "a" resets
 		When "GET /plain/" is sent 6 times
 		Then each answer is 200
 
-	Scenario: A request that no engine ran is refused with a time to come back
+	Scenario: A request that no engine ran is refused with a retry time
 		Given a relay of 1 VM with engines "a, b"
 		And engine "a" rejects
 		And engine "b" rejects
@@ -88,12 +88,12 @@
 		Then the answer is 503
 		And it says when to come back
 
-	Scenario Outline: An answer that proves nothing is not passed on
+	Scenario Outline: An answer that does not prove its origin is not forwarded
 		Given a relay of 1 VM with engines "a"
 		And engine "a" <does>
 		When "POST /once/" with body "order" is sent
 		Then the answer is 502
-		And it carries no signature
+		And it has no signature
 
 		Examples:
 			| does     |
@@ -109,27 +109,27 @@
 		When "POST /once/" with body "order" is sent
 		Then the answer is 200 "half and half", signed by "a"
 
-	Scenario: A second answer behind the first belongs to no request
+	Scenario: A second answer on the same connection is not taken as the answer to another request
 		Given a relay of 1 VM with engines "a"
 		And engine "a" answers-twice
 		When "GET /plain/" is sent 10 times
 		Then each answer is 200 "answer to /plain/"
 
-	Scenario: An engine that answers before it has read the body gets nothing else in its place
+	Scenario: An engine that answers before it has read the body receives no other data in place of the rest
 		Given a relay of 1 VM with engines "a"
 		And engine "a" answers-early
 		When "POST /plain/" with 300000 bytes of body is sent 6 times
 		Then each answer is 200 "early answer to /plain/"
-		And engine "a" got each body of 300000 bytes whole, or not to its end
+		And engine "a" received each body of 300000 bytes completely or truncated
 
-	Scenario: An engine that drops idle connections fails no request that may run again
+	Scenario: No idempotent request fails because an engine drops idle connections
 		Given a relay of 1 VM with engines "a, b"
 		And engine "a" drops idle connections
 		When "GET /plain/" is sent 30 times
 		Then each answer is 200 "answer to /plain/"
-		And engine "a" was asked again
+		And engine "a" got another request
 
-	Scenario: A request that was reset on an idle connection may have run, and its caller is not told that it has not
+	Scenario: A request that was reset on a reused connection may have run, so it is not reported as not run
 		Given a relay of 1 VM with engines "a"
 		When "POST /once/" with body "order" is sent
 		And engine "a" drops idle connections
@@ -137,21 +137,21 @@
 		Then the answer is 502
 		And 1 requests ran
 
-	Scenario: An engine that resets new connections gets no request, and another takes those that may run again
+	Scenario: Idempotent requests go to another engine when an engine resets new connections
 		Given a relay of 1 VM with engines "a, b"
 		And engine "a" resets new connections
 		When "GET /plain/" is sent 10 times
 		Then each answer is 200 "answer to /plain/"
 		And engine "b" ran 10 requests
 
-	Scenario: A reset that comes behind the first bytes may hide a run: no caller is told that its request has not run, and none runs twice
+	Scenario: A request that is reset after its first bytes is neither reported as not run nor run twice
 		Given a relay of 1 VM with engines "a, b"
 		And engine "a" resets new connections
 		When "POST /once/" with body "order" is sent 10 times
 		Then each answer is 200 or 502
 		And as many requests ran as were answered with 200
 
-	Scenario: An engine's own failure is passed on as it is
+	Scenario: An engine's own error is forwarded unchanged
 		Given a relay of 1 VM with engines "a"
 		And engine "a" fails
 		When "POST /once/" with body "order" is sent
@@ -161,9 +161,9 @@
 		Given a relay of 1 VM with engines "a, b"
 		And engine "a" breaks-off
 		When "POST /stream/resumed/" is sent 8 times
-		Then each stream is whole
+		Then each stream is complete
 
-	Scenario: A broken stream that may not go on is cut, never ended
+	Scenario: A broken stream that is not resumable is aborted, not ended normally
 		Given a relay of 1 VM with engines "a"
 		And engine "a" breaks-off
 		When "POST /stream/once/" is sent
@@ -179,50 +179,50 @@
 		Given a relay of 1 VM with engines "a, b"
 		And engine "a" silent
 		When "POST /stream/resumed/" is sent 4 times
-		Then each stream is whole
+		Then each stream is complete
 
 	Scenario: A caller that leaves frees the engine
 		Given a relay of 1 VM with engines "a"
 		And engine "a" silent
-		When the caller of "POST /stream/resumed/" leaves after 200 ms
+		When the caller of "POST /stream/resumed/" disconnects after 200 ms
 		Then engine "a" is free within 500 ms
 
-	Scenario: A request that may run once runs on without its caller, and its engine stays in use
+	Scenario: A non-idempotent request continues when its caller disconnects, and its engine stays in use
 		Given a relay of 1 VM with engines "a"
 		And engine "a" takes 300 ms to answer
-		When the caller of "POST /once/" leaves after 100 ms
+		When the caller of "POST /once/" disconnects after 100 ms
 		And 1500 ms pass in quiet
 		And "POST /once/" with body "order" is sent
 		Then the answer is 200
-		And engine "a" ran 2 requests to their end
+		And engine "a" completed 2 requests
 
-	Scenario: An engine that is leaving gets nothing new
+	Scenario: A draining engine gets no new requests
 		Given a relay of 1 VM with engines "a, b"
 		When engine "a" starts to leave
 		And "GET /plain/" is sent 10 times
 		Then engine "a" ran 0 requests
 
-	Scenario: An engine that took over an address runs nothing for the one before
+	Scenario: An engine that took over an address runs no request for the previous engine
 		Given a relay of 1 VM with engines "a"
 		And another engine now listens at the address of "a"
 		When "POST /once/" with body "order" is sent
 		Then the answer is 503
 		And 0 requests ran
 
-	Scenario: A VM that the store turns away hears of a configuration from its peers
+	Scenario: A VM that the store rejects gets a new configuration from its peers
 		Given a relay of 2 VMs with engines "a"
 		And the store turns VM 2 away
 		When the key of customer "station" is taken away
 		Then VM 2 answers 503 within 2000 ms
 		And VM 2 answers 200 to key "another-key" within 2000 ms
 
-	Scenario: A VM that the store turns away hears of leaving engines from its peers
+	Scenario: A VM that the store rejects learns of draining engines from its peers
 		Given a relay of 2 VMs with engines "a, b"
 		And the store turns VM 2 away
 		When engine "a" starts to leave
 		Then VM 2 sends nothing to engine "a" after 3000 ms
 
-	Scenario: A VM that the store turns away just after a change hears of the next one from its peers
+	Scenario: A VM that the store rejects right after a change learns of the next change from its peers
 		Given a relay of 2 VMs with engines "a, b"
 		And the registration of engine "b" is written 1 times more
 		When 100 ms pass in quiet
@@ -230,7 +230,7 @@
 		And engine "a" starts to leave
 		Then VM 2 sends nothing to engine "a" after 3000 ms
 
-	Scenario: A VM that starts while the store turns it away learns all from the first VM
+	Scenario: A VM that the store rejects at its start gets all data from its seed
 		Given a relay of 1 VM with engines "a"
 		When a second VM starts, turned away, with the first as its seed
 		Then VM 2 answers 200 within 6000 ms
@@ -246,28 +246,28 @@
 		When engine "a" starts to leave
 		Then no VM sends work to engine "a" after 1500 ms
 
-	Scenario: Changed settings are taken in, wrong ones change nothing
+	Scenario: Changed settings are applied, and invalid ones are ignored
 		Given a relay of 1 VM with engines "a"
 		When its settings are changed, then spoiled, with a signal each time
 		And "GET /plain/" is sent
 		Then the answer is 200
 		And its metrics tell 1 complete request of route "plain"
 
-	Scenario: A planned stop lets streams end and takes no late ones
+	Scenario: A planned stop lets open streams end and accepts no new ones
 		Given a relay of 1 VM with engines "a"
-		And engine "a" takes 100 ms for an event
+		And engine "a" sends an event every 100 ms
 		When a stream is on its way as the VM is stopped
-		Then that stream is whole
+		Then that stream is complete
 		And the VM is not ready
 		And the VM ends by itself within 8000 ms
 
-	Scenario: Lost history is made good by reading again
+	Scenario: Engines are read again after the store has lost its history
 		Given a relay of 1 VM with engines "a, b"
 		When the store forgets its history while engine "a" leaves
 		And "GET /plain/" is sent 10 times
 		Then engine "a" ran 0 requests
 
-	Scenario: The daemon as it is deployed, bundled and compiled, checks settings and serves
+	Scenario: The bundled daemon checks settings and serves requests
 		Given the bundle of the daemon
 		Then it finds nothing wrong with the example of settings
 		And it loads neither encryption nor clusters nor compression
@@ -275,7 +275,7 @@
 		When "POST /plain/" with body "hello" is sent
 		Then the answer is 200 "answer to hello", signed by "a"
 
-	Scenario: The daemon as it is deployed hears of a configuration from its peers
+	Scenario: The bundled daemon gets a new configuration from its peers
 		Given the bundle of the daemon
 		And a relay of 2 VMs from the bundle with engines "a"
 		And the store turns VM 2 away
@@ -283,7 +283,7 @@
 		Then VM 2 answers 503 within 2000 ms
 		And VM 2 answers 200 to key "another-key" within 2000 ms
 
-	Scenario: Settings with errors are refused with every finding
+	Scenario: Invalid settings are refused with all findings
 		When the relay starts with settings that lack a zone and a store
 		Then it ends with code 78
 		And it names "zone" and "platform"
--- a/test/steps/engine-notices.steps.ts
+++ b/test/steps/engine-notices.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about what engines say of themselves in the heads of their answers: that they leave, that they want rest.
+ * Steps for engine notices in the heads of answers: draining and back-off.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -28,20 +28,20 @@
 import { until } from './relay-world.js';
 import type { FleetWorld } from './world.js';
 
-/** Changes of the store reach a VM within this time, in milliseconds. */
-const storeNewsMs = 500;
-/** Times of an engine and of its VM differ by at most this on a busy machine, in milliseconds. */
+/** Time within which changes in the store reach a VM. */
+const storeUpdateMs = 500;
+/** Maximum difference between the times that an engine and its VM record on a busy machine. */
 const clockSlackMs = 50;
 
 cucumber.Given(
-	'engine {string} says in its answers that it leaves',
+	'engine {string} announces in its answers that it drains',
 	function (this: FleetWorld, id: string) {
 		engineOf(this, id).isLeaving = true;
 	},
 );
 
 cucumber.Given(
-	'engines {string} say in their answers that they leave',
+	'engines {string} announce in their answers that they drain',
 	function (this: FleetWorld, ids: string) {
 		for (const id of ids.split(', ')) {
 			engineOf(this, id).isLeaving = true;
@@ -50,7 +50,7 @@
 );
 
 cucumber.Given(
-	'engine {string} asks for {float} seconds of rest',
+	'engine {string} asks for a back-off of {float} seconds',
 	function (this: FleetWorld, id: string, seconds: number) {
 		engineOf(this, id).restS = seconds;
 	},
@@ -94,8 +94,8 @@
 cucumber.When(
 	'{string} is sent for {int} ms',
 	async function (this: FleetWorld, call: string, ms: number) {
-		const latest = performance.now() + ms;
-		while (performance.now() < latest) {
+		const deadline = performance.now() + ms;
+		while (performance.now() < deadline) {
 			await fixtureOf(this).send(call);
 			await sleep(10);
 		}
@@ -107,7 +107,7 @@
 	async function (this: FleetWorld, id: string) {
 		const engine = engineOf(this, id);
 		await fixtureOf(this).register(engine, fixtureOf(this).addressOf(engine));
-		await sleep(storeNewsMs);
+		await sleep(storeUpdateMs);
 	},
 );
 
@@ -117,14 +117,14 @@
 		const fixture = fixtureOf(this);
 		const engine = engineOf(this, id);
 		fixture.store.remove(`servers/${id}`);
-		await sleep(storeNewsMs);
+		await sleep(storeUpdateMs);
 		await fixture.register(engine, fixture.addressOf(engine));
-		await sleep(storeNewsMs);
+		await sleep(storeUpdateMs);
 	},
 );
 
 cucumber.When(
-	'engine {string} begins again and does not leave',
+	'engine {string} restarts and does not drain',
 	async function (this: FleetWorld, id: string) {
 		const fixture = fixtureOf(this);
 		const engine = engineOf(this, id);
@@ -143,7 +143,7 @@
 });
 
 cucumber.When(
-	'{string} with body "letter" runs on engines {string} as these end',
+	'{string} with body "letter" runs on engines {string} while these exit',
 	async function (this: FleetWorld, call: string, ids: string) {
 		const fixture = fixtureOf(this);
 		const engines = ids.split(', ').map((id) => engineOf(this, id));
@@ -151,29 +151,34 @@
 		for (const engine of engines) {
 			engine.pauseMs = 1000;
 		}
-		for (let at = 1; at <= engines.length; at++) {
+		for (let count = 1; count <= engines.length; count++) {
 			answers.push(fixture.open(call, 'letter').answer);
-			await until(() => engines.filter(({ seen: requests }) => requests.length > 0).length >= at);
+			await until(
+				() => engines.filter(({ seen: requests }) => requests.length > 0).length >= count,
+			);
 		}
 		for (const engine of engines) {
 			engine.stop();
 			fixture.store.remove(`servers/${engine.id}`);
 		}
 		await Promise.all(answers);
-		await sleep(storeNewsMs);
+		await sleep(storeUpdateMs);
 	},
 );
 
-cucumber.Then('engine {string} was let rest each time', function (this: FleetWorld, id: string) {
-	const { seen: requests } = engineOf(this, id);
-	for (const { notice } of requests) {
-		const restEnd = (notice?.at ?? 0) + (notice?.restMs ?? 0) - clockSlackMs;
-		const early = requests.filter(({ at }) => at > (notice?.at ?? 0) && at < restEnd);
-		assert.equal(early.length, 0);
-	}
-});
+cucumber.Then(
+	'engine {string} got no request during its back-off',
+	function (this: FleetWorld, id: string) {
+		const { seen: requests } = engineOf(this, id);
+		for (const { notice } of requests) {
+			const backOffEnd = (notice?.at ?? 0) + (notice?.restMs ?? 0) - clockSlackMs;
+			const premature = requests.filter(({ at }) => at > (notice?.at ?? 0) && at < backOffEnd);
+			assert.equal(premature.length, 0);
+		}
+	},
+);
 
-cucumber.Then('engine {string} was asked again', function (this: FleetWorld, id: string) {
+cucumber.Then('engine {string} got another request', function (this: FleetWorld, id: string) {
 	assert.ok(engineOf(this, id).seen.length >= 2);
 });
 
@@ -192,13 +197,15 @@
 		onChanged() {},
 		onRead() {},
 	});
-	const items = ids.map((id, at) => registration(id, at + 1, { address: `10.0.0.${at + 1}:80` }));
+	const items = ids.map((id, index) =>
+		registration(id, index + 1, { address: `10.0.0.${index + 1}:80` }),
+	);
 	directory.applySnapshot(items, 0, ids.length);
 	return directory;
 }
 
 cucumber.When(
-	'engine {string} asks for {int} seconds of rest there',
+	'engine {string} in the directory asks for a back-off of {int} seconds',
 	function (this: FleetWorld, id: string, seconds: number) {
 		const engine = seen<EngineDirectory>(this, 'directory').get(id) as Engine;
 		engine.notices.heard({ leaving: false, restS: seconds }, clockOf(this).sinceBoot());
@@ -246,18 +253,18 @@
 			engines: directory,
 			placement: { choose },
 			transport,
-			budget: { requested() {}, left: () => 5, take: () => true },
+			retryBudget: { recordRequest() {}, available: () => 5, tryConsume: () => true },
 			fleet: { size: 1, changeWork() {}, recordPrefill() {} },
-			metrics: { retried() {}, engineClosed() {} },
+			metrics: { recordRetry() {}, recordCircuitOpened() {} },
 			quarantine: { hasMatchingHead: () => false },
 			fleetHealth: alwaysHealthy,
 			limits: noRequestLimits,
 			onWorkChanged() {},
 		} as unknown as RelayContext;
-		const req = { id: 'r', parts: [], headers: [], arrivedAt: clockOf(this).sinceBoot() };
-		const terms = { req, route: route({}), service: 'pool', urgency: 0, leastUrgent: false };
-		const res = { head() {}, write: () => true, end() {}, onDrain() {}, onClosed() {} };
-		const request = new RelayedRequest(ctx, terms as never, res as never, () => {});
+		const req = { id: 'r', promptSegments: [], headers: [], arrivedAt: clockOf(this).sinceBoot() };
+		const routed = { req, route: route({}), service: 'pool', urgency: 0, isLeastUrgent: false };
+		const res = { writeHead() {}, write: () => true, end() {}, onDrain() {}, onDisconnect() {} };
+		const request = new RelayedRequest(ctx, routed as never, res as never, () => {});
 		request.start();
 		this.seen.set('directory', directory);
 		this.seen.set('calls', calls);
@@ -266,7 +273,7 @@
 
 type Calls = { call: EngineCall; listener: AnswerListener }[];
 
-cucumber.When('the connection is up', function (this: FleetWorld) {
+cucumber.When('the connection is established', function (this: FleetWorld) {
 	const [{ listener }] = seen<Calls>(this, 'calls') as [Calls[number]];
 	if (listener.shouldSend()) {
 		listener.onSent();
@@ -281,51 +288,54 @@
 		const engines = seen<Calls>(this, 'calls').map(({ call }) => call.engineId);
 		assert.deepEqual(engines, ['a', 'b']);
 		for (const { listener } of seen<Calls>(this, 'calls')) {
-			listener.onError('the test is over', false);
+			listener.onError('the test has ended', false);
 		}
 	},
 );
 
-cucumber.Given('an engine that counts what it gets', async function (this: FleetWorld) {
-	const got: string[] = [];
+cucumber.Given('an engine that records its requests', async function (this: FleetWorld) {
+	const received: string[] = [];
 	const server = http.createServer((req, res) => {
-		got.push(req.url ?? '');
+		received.push(req.url ?? '');
 		res.end();
 	});
 	await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
 	this.seen.set('server', server);
-	this.seen.set('got', got);
+	this.seen.set('received', received);
 });
 
-cucumber.When('a call is taken back as its connection comes up', async function (this: FleetWorld) {
-	const { port } = seen<http.Server>(this, 'server').address() as AddressInfo;
-	const transport = new UndiciEngineTransport(platform);
-	const req = { method: 'POST', target: '/', headers: [], body: Buffer.from('order'), id: 'r' };
-	const address = `127.0.0.1:${port}`;
-	const call = { address, engineId: 'a', req, deadlineMs: 1000, urgency: 5 } as unknown;
-	const end = await new Promise<string>((done) => {
-		transport.send(call as EngineCall, {
-			shouldSend: () => false,
-			onWithdrawn: () => done('withdrawn'),
-			onSent: () => done('sent'),
-			onHead() {},
-			onData() {},
-			onEnd() {},
-			onError: () => done('failed'),
+cucumber.When(
+	'a call is withdrawn when its connection is established',
+	async function (this: FleetWorld) {
+		const { port } = seen<http.Server>(this, 'server').address() as AddressInfo;
+		const transport = new UndiciEngineTransport(platform);
+		const req = { method: 'POST', target: '/', headers: [], body: Buffer.from('order'), id: 'r' };
+		const address = `127.0.0.1:${port}`;
+		const call = { address, engineId: 'a', req, deadlineMs: 1000, urgency: 5 } as unknown;
+		const end = await new Promise<string>((done) => {
+			transport.send(call as EngineCall, {
+				shouldSend: () => false,
+				onWithdrawn: () => done('withdrawn'),
+				onSent: () => done('sent'),
+				onHead() {},
+				onData() {},
+				onEnd() {},
+				onError: () => done('failed'),
+			});
 		});
-	});
-	await sleep(clockSlackMs);
-	await transport.close();
-	seen<http.Server>(this, 'server').close();
-	this.seen.set('end', end);
-});
+		await sleep(clockSlackMs);
+		await transport.close();
+		seen<http.Server>(this, 'server').close();
+		this.seen.set('end', end);
+	},
+);
 
 cucumber.Then('the call ends as not sent', function (this: FleetWorld) {
 	assert.equal(seen<string>(this, 'end'), 'withdrawn');
 });
 
 cucumber.Then('the engine got no request', function (this: FleetWorld) {
-	assert.deepEqual(seen<string[]>(this, 'got'), []);
+	assert.deepEqual(seen<string[]>(this, 'received'), []);
 });
 
 function sleep(ms: number): Promise<void> {
--- a/test/steps/late-reader.ts
+++ b/test/steps/late-reader.ts
@@ -1,14 +1,14 @@
 /**
- * A caller that writes its whole body before it reads anything.
+ * A caller that writes its complete body before it reads the answer.
  * @module
  */
 import * as net from 'node:net';
 
-/** Bytes written at a time, and the pause behind them, in milliseconds. */
-const pieceBytes = 500_000;
-const pieceMs = 20;
+/** Size of a chunk and the pause after it. */
+const chunkBytes = 500_000;
+const chunkPauseMs = 20;
 
-/** @returns all that the server answered; rejects when the connection is reset */
+/** @returns the complete answer; rejects when the connection is reset */
 export async function writeThenRead(
 	url: URL,
 	head: readonly string[],
@@ -21,13 +21,13 @@
 		socket.on('end', () => done(Buffer.concat(chunks).toString()));
 		socket.on('error', failed);
 	});
-	// Awaited below; until then a rejection has no other reader.
+	// Awaited below; prevents an unhandled rejection until then.
 	answer.catch(() => {});
 	socket.pause();
 	socket.write(`${[...head, `content-length: ${bodyBytes}`].join('\r\n')}\r\n\r\n`);
-	for (let left = bodyBytes; left > 0 && !socket.destroyed; left -= pieceBytes) {
-		socket.write(Buffer.alloc(Math.min(left, pieceBytes), 'x'));
-		await new Promise((done) => setTimeout(done, pieceMs));
+	for (let left = bodyBytes; left > 0 && !socket.destroyed; left -= chunkBytes) {
+		socket.write(Buffer.alloc(Math.min(left, chunkBytes), 'x'));
+		await new Promise((done) => setTimeout(done, chunkPauseMs));
 	}
 	socket.resume();
 	try {
--- a/test/steps/relay-fixture.ts
+++ b/test/steps/relay-fixture.ts
@@ -1,5 +1,5 @@
 /**
- * The relay of a scenario, and what its steps ask of it most.
+ * Accessors for the relay fixture of a scenario.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -19,7 +19,7 @@
 	return fixture;
 }
 
-/** Ends what the scenario started. */
+/** Stops everything that the scenario started. */
 export async function stopFixture(world: FleetWorld): Promise<void> {
 	await fixtures.get(world)?.stop();
 }
--- a/test/steps/relay-log.steps.ts
+++ b/test/steps/relay-log.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about streams in chunks, the bounded log, stories from logs and their declared events.
+ * Steps for event streams in chunks, the bounded log, request stories from logs and declared log events.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -20,7 +20,10 @@
 const run = util.promisify(childProcess.execFile);
 
 cucumber.Given('a stream of {int} events with ids', function (this: FleetWorld, count: number) {
-	const events = Array.from({ length: count }, (_, at) => `id: ${at + 1}\ndata: token ${at}\n\n`);
+	const events = Array.from(
+		{ length: count },
+		(_, index) => `id: ${index + 1}\ndata: token ${index}\n\n`,
+	);
 	this.seen.set('stream', Buffer.from(events.join('')));
 });
 
@@ -28,8 +31,8 @@
 	const stream = seen<Buffer>(this, 'stream');
 	const cuts = fc.array(fc.nat({ max: stream.length }), { maxLength: 40 });
 	fc.assert(
-		fc.property(cuts, (places) => {
-			const ends = [...places, stream.length].sort((a, b) => a - b);
+		fc.property(cuts, (cutIndexes) => {
+			const ends = [...cutIndexes, stream.length].sort((a, b) => a - b);
 			const splitter = new EventSplitter();
 			const out: Buffer[] = [];
 			let lastId = '0';
@@ -52,12 +55,12 @@
 });
 
 cucumber.Given('a log whose reader takes nothing', function (this: FleetWorld) {
-	// The writer runs in a process of its own, with a pipe that this one does not read.
+	// The writer runs in a separate process, whose output pipe is not read.
 	const program = `
 		import { BoundedWriter } from './dist/src/infra/bounded-writer.js';
 		const writer = new BoundedWriter(1);
 		const from = performance.now();
-		for (let at = 0; at < 100000; at++) writer.write('x'.repeat(100) + '\\n');
+		for (let index = 0; index < 100000; index++) writer.write('x'.repeat(100) + '\\n');
 		const tookMs = performance.now() - from;
 		setTimeout(() => {
 			process.stderr.write(JSON.stringify({ tookMs, dropped: writer.droppedTotal }));
@@ -90,7 +93,7 @@
 		const program = `
 			import { BoundedWriter } from './dist/src/infra/bounded-writer.js';
 			const writer = new BoundedWriter(1);
-			for (let at = 0; at < ${count}; at++) writer.write('line ' + at + '\\n');
+			for (let index = 0; index < ${count}; index++) writer.write('line ' + index + '\\n');
 			setImmediate(() => process.kill(process.pid, 'SIGKILL'));`;
 		const file = path.join(os.tmpdir(), `relay-log-${process.pid}.txt`);
 		const log = await fs.open(file, 'w');
@@ -106,7 +109,7 @@
 );
 
 cucumber.Then('the file holds {int} whole lines', function (this: FleetWorld, count: number) {
-	const lines = Array.from({ length: count }, (_, at) => `line ${at}\n`);
+	const lines = Array.from({ length: count }, (_, index) => `line ${index}\n`);
 	assert.equal(seen<string>(this, 'file'), lines.join(''));
 });
 
@@ -121,7 +124,7 @@
 			`${at(4)} event=engine.closed vm=${vm} engine=${engine} request=other`,
 			`${at(5)} event=request.placed vm=${vm} request=${request} engine=${engine}`,
 			`${at(5)} event=request.placed vm=vm-2 request=r2 engine=e2`,
-			'a line of something else',
+			'not a log line',
 		];
 		const parsed = lines.map(parseLine).filter((line) => line !== undefined);
 		assert.equal(parsed.length, lines.length - 1);
@@ -206,7 +209,7 @@
 	},
 );
 
-/** Folders whose log lines belong to the relay. */
+/** Folders whose log events belong to the relay. */
 const relayFolders = [
 	'src/core/relay',
 	'src/core/engines',
@@ -248,8 +251,8 @@
 		});
 		const other = 'time=2026-01-01T10:00:00.000Z level=info event=peer.seen vm=vm-1 peer=vm-2';
 		const file = path.join(os.tmpdir(), `find-${process.pid}.log`);
-		// Newest first: the order of lines does not matter.
-		await fs.writeFile(file, [...lines.reverse(), other, 'no line of ours'].join('\n'));
+		// Newest first: `find` must not depend on the order of lines.
+		await fs.writeFile(file, [...lines.reverse(), other, 'not a log line'].join('\n'));
 		this.seen.set('file', file);
 	},
 );
--- a/test/steps/relay-start.steps.ts
+++ b/test/steps/relay-start.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about the first moments of a daemon.
+ * Steps for requests that arrive while a daemon starts.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -10,29 +10,31 @@
 import type { FleetWorld } from './world.js';
 
 interface Start {
-	hold: StartupQueue;
-	known: boolean;
-	wentOn: string[];
+	queue: StartupQueue;
+	isLoaded: boolean;
+	processed: string[];
 	heldIds: string[];
 }
 
 function start(world: FleetWorld): void {
-	const made: Partial<Start> = { known: false, wentOn: [], heldIds: [] };
-	const isKnown = () => made.known === true;
-	made.hold = new StartupQueue({ clock: clockOf(world), log: silentLog, isLoaded: isKnown });
-	world.seen.set('start', made);
+	const startup: Partial<Start> = { isLoaded: false, processed: [], heldIds: [] };
+	const isLoaded = () => startup.isLoaded === true;
+	startup.queue = new StartupQueue({ clock: clockOf(world), log: silentLog, isLoaded });
+	world.seen.set('start', startup);
 }
 
-/** @returns tells that the caller left */
-function send(made: Start, id: string): () => void {
-	let left = () => {};
-	const res = { onClosed: (told: () => void) => (left = told) } as unknown as CallerResponse;
-	if (made.hold.enqueue({ id } as CallerRequest, res, () => made.wentOn.push(id))) {
-		made.heldIds.push(id);
+/** @returns a function that disconnects the caller */
+function send(startup: Start, id: string): () => void {
+	let disconnect = () => {};
+	const res = {
+		onDisconnect: (callback: () => void) => (disconnect = callback),
+	} as unknown as CallerResponse;
+	if (startup.queue.enqueue({ id } as CallerRequest, res, () => startup.processed.push(id))) {
+		startup.heldIds.push(id);
 	} else {
-		made.wentOn.push(id);
+		startup.processed.push(id);
 	}
-	return () => left();
+	return () => disconnect();
 }
 
 cucumber.Given('a daemon that has just started', function (this: FleetWorld) {
@@ -42,19 +44,19 @@
 cucumber.When(
 	'requests {string} and {string} come and the caller of {string} leaves',
 	function (this: FleetWorld, stays: string, leaves: string, _left: string) {
-		const made = seen<Start>(this, 'start');
-		send(made, stays);
-		send(made, leaves)();
+		const startup = seen<Start>(this, 'start');
+		send(startup, stays);
+		send(startup, leaves)();
 	},
 );
 
 cucumber.When(
 	'the daemon has read the store after {int} ms',
 	function (this: FleetWorld, ms: number) {
-		const made = seen<Start>(this, 'start');
+		const startup = seen<Start>(this, 'start');
 		clockOf(this).now += ms;
-		made.known = true;
-		made.hold.release();
+		startup.isLoaded = true;
+		startup.queue.release();
 	},
 );
 
@@ -69,8 +71,8 @@
 cucumber.Then(
 	/^"(.*)" went on, (held|not held)$/,
 	function (this: FleetWorld, ids: string, how: string) {
-		const made = seen<Start>(this, 'start');
-		assert.equal(made.wentOn.join(', '), ids);
-		assert.equal(made.heldIds.length > 0, how === 'held');
+		const startup = seen<Start>(this, 'start');
+		assert.equal(startup.processed.join(', '), ids);
+		assert.equal(startup.heldIds.length > 0, how === 'held');
 	},
 );
--- a/test/steps/relay-world.ts
+++ b/test/steps/relay-world.ts
@@ -1,5 +1,5 @@
 /**
- * Real relay daemons before stand-ins of the store and of engines, for one scenario.
+ * Runs real relay daemons with stand-ins for the store and the engines, for one scenario.
  * @module
  */
 import * as childProcess from 'node:child_process';
@@ -18,31 +18,31 @@
 	status: number;
 	headers: http.IncomingHttpHeaders;
 	body: string;
-	/** The connection ended before the answer did. */
+	/** Whether the connection ended before the answer was complete. */
 	cut: boolean;
 }
 
 export interface Vm {
 	address: string;
 	ports: Ports;
-	/** Its settings. */
+	/** Path of its settings file. */
 	file: string;
 	process: childProcess.ChildProcess;
 	ended: Promise<number | null>;
 	errors: string;
-	/** The last of its log, where that does not go to a file. */
+	/** End of its log, unless the log goes to a file. */
 	output: string;
 }
 
-/** Characters of a VM's log that are kept: some hundred lines, more than a start writes. */
-const keptOutput = 20_000;
+/** Characters of a VM's log that are kept; enough for all lines of a start. */
+const maxOutputLength = 20_000;
 
 export class RelayFixture {
 	readonly store = new PlatformStoreStandIn();
 	readonly engines = new Map<string, PlatformEngineStandIn>();
 	readonly vms: Vm[] = [];
 	answers: Answer[] = [];
-	/** Started for each VM. */
+	/** Program started for each VM. */
 	program = 'dist/src/daemon/relay/main.js';
 	private nextId = 1;
 	private version = 1;
@@ -60,18 +60,18 @@
 		if (configured) {
 			this.configure([key]);
 		}
-		// Each VM has an address of its own, as on the platform, with the same ports.
+		// As on the platform, each VM has its own address and all use the same ports.
 		const [callers, readiness, peers, metrics] = await freePorts(4);
-		for (let at = 1; at <= vms; at++) {
+		for (let index = 1; index <= vms; index++) {
 			const ports = { callers, readiness, peers, metrics } as Ports;
-			this.vms.push(await this.startVm(`127.0.0.${10 + at}`, `vm-${at}`, ports));
+			this.vms.push(await this.startVm(`127.0.0.${10 + index}`, `vm-${index}`, ports));
 		}
 		for (const vm of this.vms) {
 			await this.untilStarted(vm, configured);
 		}
 	}
 
-	/** A VM that does not come up tells in its own words how far it came. */
+	/** Reports the output of a VM that does not start. */
 	private async untilStarted(vm: Vm, configured: boolean): Promise<void> {
 		try {
 			await until(
@@ -80,7 +80,7 @@
 		} catch (err) {
 			const { exitCode } = vm.process;
 			throw new Error(
-				`${(err as Error).message}; exit ${exitCode}; it wrote:\n${vm.errors}${vm.output}`,
+				`${(err as Error).message}; exit code ${exitCode}; output:\n${vm.errors}${vm.output}`,
 			);
 		}
 	}
@@ -90,7 +90,7 @@
 	}
 
 	/**
-	 * Writes the next configuration with these keys for the one customer.
+	 * Writes the next configuration, with these keys for its only customer.
 	 * @returns its version
 	 */
 	configure(keys: readonly string[]): number {
@@ -100,7 +100,7 @@
 		return this.version;
 	}
 
-	/** The newest configuration, as it was. */
+	/** Writes the latest configuration again. */
 	writeConfiguration(): void {
 		this.store.put('op/config', this.configuration);
 	}
@@ -136,22 +136,27 @@
 	}
 
 	/**
-	 * Every engine ends as it runs the body; its registration goes after a while, and it is back after a longer one under a
-	 * new id.
+	 * Makes every engine crash when it runs the body. Its registration is removed after `goneMs`, and it is replaced under a new id
+	 * after `backMs`.
 	 */
 	crashOn(body: string, goneMs: number, backMs: number): void {
 		for (const engine of this.engines.values()) {
-			this.letCrash(engine, body, goneMs, backMs);
+			this.crashEngineOn(engine, body, goneMs, backMs);
 		}
 	}
 
-	private letCrash(engine: PlatformEngineStandIn, body: string, goneMs: number, backMs: number) {
+	private crashEngineOn(
+		engine: PlatformEngineStandIn,
+		body: string,
+		goneMs: number,
+		backMs: number,
+	) {
 		engine.crashesOn = body;
 		engine.onCrash = () => {
 			const start = async () => {
 				const next = new PlatformEngineStandIn(`${engine.id}-${this.engines.size}`);
 				this.engines.set(next.id, next);
-				this.letCrash(next, body, goneMs, backMs);
+				this.crashEngineOn(next, body, goneMs, backMs);
 				await this.register(next, await next.start());
 			};
 			this.timers.push(setTimeout(() => this.store.remove(`servers/${engine.id}`), goneMs));
@@ -159,13 +164,13 @@
 		};
 	}
 
-	/** Requests with the body that reached engines. */
+	/** Number of requests with this body that reached engines. */
 	countReached(body: string): number {
 		const seen = [...this.engines.values()].flatMap((engine) => engine.seen);
 		return seen.filter((request) => request.body === body).length;
 	}
 
-	/** @param born Unix milliseconds of its start, where it tells */
+	/** @param born Unix milliseconds of the engine's start, if registered */
 	async register(
 		engine: PlatformEngineStandIn,
 		address: string,
@@ -180,7 +185,7 @@
 		return `127.0.0.1:${(engine.server.address() as net.AddressInfo).port}`;
 	}
 
-	/** Sends a request to the first VM, or another, and keeps the answer. */
+	/** Sends a request, to the first VM by default, and records the answer. */
 	async send(call: string, body = '', opts: { key?: string; vm?: Vm } = {}): Promise<Answer> {
 		const answer = await this.open(call, body, opts).answer;
 		this.answers.push(answer);
@@ -228,7 +233,7 @@
 		await Promise.all(this.files.map((file) => fs.rm(file, { force: true })));
 	}
 
-	/** Starts a daemon; the settings file is the platform's. */
+	/** Starts a daemon with a settings file in the platform's format. */
 	async startVm(address: string, id: string, ports: Ports, opts: StartOptions = {}): Promise<Vm> {
 		const settings: Record<string, unknown> = {
 			'node-name': id,
@@ -265,7 +270,7 @@
 			output: '',
 		};
 		child.stdout?.on('data', (chunk: Buffer) => {
-			vm.output = (vm.output + chunk.toString()).slice(-keptOutput);
+			vm.output = (vm.output + chunk.toString()).slice(-maxOutputLength);
 		});
 		child.stderr?.on('data', (chunk: Buffer) => {
 			vm.errors += chunk.toString();
@@ -273,7 +278,7 @@
 		return vm;
 	}
 
-	/** Status of the readiness port; 0 when it is not reached. */
+	/** Status of the readiness port; 0 when it is unreachable. */
 	private readiness(vm: Vm): Promise<number> {
 		return new Promise((done) => {
 			const url = `http://${vm.address}:${vm.ports.readiness}/readyz`;
@@ -291,7 +296,7 @@
 	/** Settings to leave out. */
 	omit?: readonly string[];
 	seeds?: readonly string[];
-	/** Address of the store. @default the one that the stand-in keeps for this VM */
+	/** Address of the store. @default the address of the stand-in for this VM */
 	store?: string;
 	/** File descriptor for the log. @default the log is dropped */
 	log?: number;
@@ -304,7 +309,7 @@
 	metrics: number;
 }
 
-/** Ports that the system says are free now. */
+/** Ports that are free now, according to the operating system. */
 export async function freePorts(count: number): Promise<number[]> {
 	const servers = Array.from({ length: count }, () => net.createServer());
 	for (const server of servers) {
@@ -315,15 +320,15 @@
 	return ports;
 }
 
-/** Waits until the condition holds; fails after ten seconds unless told otherwise. */
+/** Waits until the condition holds; fails after `withinMs`. */
 export async function until(
 	condition: () => boolean | Promise<boolean>,
 	withinMs = 10_000,
 ): Promise<void> {
-	const latest = Date.now() + withinMs;
+	const deadline = Date.now() + withinMs;
 	while (!(await condition())) {
-		if (Date.now() > latest) {
-			throw new Error(`did not happen within ${withinMs} ms`);
+		if (Date.now() > deadline) {
+			throw new Error(`condition not met within ${withinMs} ms`);
 		}
 		await new Promise((done) => setTimeout(done, 20));
 	}
--- a/test/steps/relay.steps.ts
+++ b/test/steps/relay.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about requests through real relay daemons, and their answers.
+ * Steps for requests through real relay daemons and their answers.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -30,7 +30,7 @@
 );
 
 cucumber.Given(
-	'engine {string} takes {int} ms for an event',
+	'engine {string} sends an event every {int} ms',
 	function (this: FleetWorld, id: string, ms: number) {
 		engineOf(this, id).pauseMs = ms;
 	},
@@ -44,10 +44,10 @@
 );
 
 cucumber.Then(
-	'engine {string} ran {int} requests to their end',
+	'engine {string} completed {int} requests',
 	function (this: FleetWorld, id: string, count: number) {
-		const whole = engineOf(this, id).seen.filter((request) => !request.left);
-		assert.equal(whole.length, count);
+		const completed = engineOf(this, id).seen.filter((request) => !request.left);
+		assert.equal(completed.length, count);
 	},
 );
 
@@ -59,7 +59,7 @@
 		const next = new other.PlatformEngineStandIn('other');
 		const address = await next.start();
 		fixture.engines.set('other', next);
-		// The registration of the engine before is still there, with the address of the other.
+		// The registration of the previous engine remains, with the address of the other one.
 		await fixture.register(engineOf(this, id), address);
 		await new Promise((done) => setTimeout(done, 500));
 	},
@@ -79,7 +79,7 @@
 cucumber.When(
 	'{string} with body {string} is sent {int} times',
 	async function (this: FleetWorld, call: string, body: string, times: number) {
-		for (let at = 0; at < times; at++) {
+		for (let index = 0; index < times; index++) {
 			await fixtureOf(this).send(call, body);
 		}
 	},
@@ -87,7 +87,7 @@
 
 cucumber.Then('each answer is 200 or 502', function (this: FleetWorld) {
 	for (const { status } of fixtureOf(this).answers) {
-		assert.ok(status === 200 || status === 502, `${status}`);
+		assert.ok(status === 200 || status === 502, `status ${status}`);
 	}
 });
 
@@ -108,20 +108,23 @@
 cucumber.When(
 	'{string} with {int} bytes of body is sent {int} times',
 	async function (this: FleetWorld, call: string, bytes: number, times: number) {
-		for (let at = 0; at < times; at++) {
-			await fixtureOf(this).send(call, String(at).repeat(bytes));
+		for (let index = 0; index < times; index++) {
+			await fixtureOf(this).send(call, String(index).repeat(bytes));
 		}
 	},
 );
 
 cucumber.Then(
-	'engine {string} got each body of {int} bytes whole, or not to its end',
+	'engine {string} received each body of {int} bytes completely or truncated',
 	function (this: FleetWorld, id: string, bytes: number) {
 		const bodies = engineOf(this, id).seen.map(({ body }) => body);
 		assert.ok(bodies.length > 0);
 		for (const body of bodies) {
 			const [first = ''] = body;
-			assert.ok(first.repeat(bytes).startsWith(body), `${body.length} bytes, others among them`);
+			assert.ok(
+				first.repeat(bytes).startsWith(body),
+				`${body.length} bytes that do not match the sent body`,
+			);
 		}
 	},
 );
@@ -146,14 +149,14 @@
 cucumber.When(
 	'{string} is sent {int} times',
 	async function (this: FleetWorld, call: string, times: number) {
-		for (let at = 0; at < times; at++) {
+		for (let index = 0; index < times; index++) {
 			await fixtureOf(this).send(call);
 		}
 	},
 );
 
 cucumber.When(
-	'the caller of {string} leaves after {int} ms',
+	'the caller of {string} disconnects after {int} ms',
 	async function (this: FleetWorld, call: string, ms: number) {
 		const { req } = fixtureOf(this).open(call);
 		await new Promise((done) => setTimeout(done, ms));
@@ -188,14 +191,14 @@
 	}
 });
 
-cucumber.Then('each stream is whole', function (this: FleetWorld) {
+cucumber.Then('each stream is complete', function (this: FleetWorld) {
 	for (const answer of fixtureOf(this).answers) {
 		assert.equal(answer.cut, false);
 		assert.equal(answer.body, wholeStream());
 	}
 });
 
-cucumber.Then('that stream is whole', function (this: FleetWorld) {
+cucumber.Then('that stream is complete', function (this: FleetWorld) {
 	assert.equal(lastAnswer(this).cut, false);
 	assert.equal(lastAnswer(this).body, wholeStream());
 });
@@ -212,14 +215,14 @@
 });
 
 cucumber.Then(
-	'it says to come back after {float} to {float} seconds',
-	function (this: FleetWorld, least: number, most: number) {
+	'the retry time is {float} to {float} seconds',
+	function (this: FleetWorld, minS: number, maxS: number) {
 		const seconds = Number(lastAnswer(this).headers['retry-after']);
-		assert.ok(seconds >= least && seconds <= most, `told ${seconds} s`);
+		assert.ok(seconds >= minS && seconds <= maxS, `Retry-After is ${seconds} s`);
 	},
 );
 
-cucumber.Then('it carries no signature', function (this: FleetWorld) {
+cucumber.Then('it has no signature', function (this: FleetWorld) {
 	assert.equal(lastAnswer(this).headers['slategauge-response-signature'], undefined);
 });
 
@@ -242,7 +245,7 @@
 );
 
 cucumber.Then(
-	'engine {string} was told to expect itself and less time than the caller has',
+	'engine {string} received its own id as the expected one and less time than the caller has',
 	function (this: FleetWorld, id: string) {
 		const [seen] = engineOf(this, id).seen;
 		assert.equal(seen?.headers['slategauge-expect-instance'], id);
@@ -272,7 +275,7 @@
 );
 
 cucumber.Then(
-	'a caller of the VM that writes {int} bytes before it reads is told {int}',
+	'a caller of the VM that writes {int} bytes before it reads receives {int}',
 	async function (this: FleetWorld, bytes: number, status: number) {
 		const vm = firstVm(this);
 		const url = new URL(`http://${vm.address}:${vm.ports.callers}`);
