--- a/src/core/duties/engine-autoscaler.ts
+++ b/src/core/duties/engine-autoscaler.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { Clock, Log } from '../definitions.js';
-import type { EngineEntry } from '../engines/types.js';
+import type { EngineRegistration } from '../engines/types.js';
 import type { ScalingLimits, Service } from '../routing/types.js';
 import type { DutyApi, EngineOrder } from './definitions.js';
 import { dutyAnswers } from './definitions.js';
@@ -54,7 +54,7 @@
 	/** Services whose engines may be ordered. */
 	services: () => readonly Service[];
 	/** Registered engines of a service. */
-	engines: (service: string) => readonly EngineEntry[];
+	engines: (service: string) => readonly EngineRegistration[];
 	/** Number of engines of a service that announce a limit of requests per second. */
 	rateLimitedEngines: (service: string) => number;
 	/** Current demand of the fleet, in busy engines. */
@@ -169,7 +169,7 @@
 	private countDomainEngines(
 		service: string,
 		domain: string,
-		engines: readonly EngineEntry[],
+		engines: readonly EngineRegistration[],
 		scaling: ScalingLimits,
 	): DomainEngines {
 		const here = engines.filter((engine) => engine.domain === domain && !engine.draining);
@@ -344,7 +344,7 @@
 }
 
 /** Number of engines without the surplus that covers the loss of a domain. */
-function initialCountOf(engines: readonly EngineEntry[], domains: number): number {
+function initialCountOf(engines: readonly EngineRegistration[], domains: number): number {
 	const present = engines.filter(({ draining }) => !draining);
 	const spot = present.filter((engine) => engine.spot).length;
 	return present.length - Math.ceil(spot / Math.max(2, domains));
--- a/src/core/engines/home-engines.ts
+++ b/src/core/engines/affinity-engines.ts
@@ -23,7 +23,10 @@
  * @param engines in any order
  * @returns the engines drawn for it, the first one first
  */
-export function homesOf<T extends Referred>(key: string, engines: readonly T[]): readonly T[] {
+export function affinityEnginesOf<T extends Referred>(
+	key: string,
+	engines: readonly T[],
+): readonly T[] {
 	const keyRef = refOf(key);
 	const homes: { engine: T; score: number }[] = [];
 	for (const engine of engines) {
--- a/src/core/engines/cost-model.ts
+++ b/src/core/engines/cost-model.ts
@@ -5,11 +5,11 @@
  */
 import type { EngineRef } from '../fleet/types.js';
 import * as rendezvous from '../membership/rendezvous.js';
-import { EngineSpeeds } from './engine-speeds.js';
+import { EnginePaces } from './engine-paces.js';
 import type { LineSums } from './estimators.js';
-import { addSums, LineEstimate, noSums, QuantileEstimate } from './estimators.js';
-import type { CostFigures } from './work-estimate.js';
-import { effectiveTokens, paced, readingMs } from './work-estimate.js';
+import { addLineSums, emptyLineSums, LineEstimator, QuantileEstimator } from './estimators.js';
+import type { CostEstimates } from './work-estimate.js';
+import { effectiveTokens, readingMs, scaleByPace } from './work-estimate.js';
 
 /**
  * Figures before anything was seen: the middle of what published figures of large models on current
@@ -53,7 +53,7 @@
 	reading: LineSums;
 	copying: LineSums;
 	/** Undisturbed pause between two events in milliseconds, and the events behind it. */
-	eventMs: number;
+	eventIntervalMs: number;
 	eventWeight: number;
 	/** Events of whole answers, and the tokens that were expected of them. */
 	events: number;
@@ -61,7 +61,7 @@
 }
 
 /** One first event: what was to be read before it, as far as was known, and how long it took. */
-export interface FirstEvent {
+export interface FirstEventObservation {
 	/** Prompt tokens that the engine had to read for the request itself. */
 	promptTokens: number;
 	/** Prompt tokens of others that waited there when the request was sent. */
@@ -77,34 +77,34 @@
 }
 
 /** One pause between two events of a stream that its caller reads at once. */
-export interface Pause {
+export interface PauseObservation {
 	ms: number;
 	engine: EngineRef;
 	/** When it ended, in monotonic milliseconds. */
 	at: number;
 	/** A late pause of the stream beside which nothing was read; see `calm-pauses`. */
-	calmMs?: number;
+	undisturbedMs?: number;
 }
 
 /** One stream that came to its end. */
-export interface WholeAnswer {
+export interface CompletedAnswer {
 	events: number;
 	/** Tokens that were expected of it. */
 	expectedTokens: number;
 	/** From the first event to the last, in milliseconds. */
-	heldMs: number;
+	slotOccupancyMs: number;
 }
 
 class ServiceCosts {
-	private readonly reading = new LineEstimate(
+	private readonly reading = new LineEstimator(
 		line(prior.firstMs, prior.readMsPerToken),
 		keepObservations,
 	);
-	private readonly copying = new LineEstimate(
+	private readonly copying = new LineEstimator(
 		line(prior.copySetupMs, prior.copyMsPerToken),
 		keepObservations,
 	);
-	private readonly pause = new QuantileEstimate(
+	private readonly pause = new QuantileEstimator(
 		prior.eventMs,
 		undisturbedShare,
 		pauseStep,
@@ -115,7 +115,7 @@
 	private heldMs = prior.heldMs;
 	private readonly told = new Map<string, CostSums>();
 	private toldSums: Omit<CostSums, 'service'> = noCosts();
-	private cached?: CostFigures;
+	private cached?: CostEstimates;
 	/** Observations of this VM since its start. */
 	observations = 0;
 
@@ -126,12 +126,12 @@
 		return this.told.size;
 	}
 
-	figures(): CostFigures {
+	figures(): CostEstimates {
 		this.cached ??= this.compute();
 		return this.cached;
 	}
 
-	firstEvent(seen: FirstEvent): void {
+	firstEvent(seen: FirstEventObservation): void {
 		const own = effectiveTokens(seen.promptTokens);
 		if (seen.aheadTokens > own) {
 			// What others' prompts cost is known too roughly: they may be overtaken, or read already.
@@ -142,7 +142,7 @@
 		if (seen.copiedTokens === 0) {
 			this.reading.add(tokens, seen.delayMs, this.toldSums.reading);
 		} else {
-			const { readMsPerToken, firstMs } = this.figures();
+			const { readMsPerToken, firstEventOverheadMs: firstMs } = this.figures();
 			const copyMs = seen.delayMs - firstMs - tokens * readMsPerToken;
 			this.copying.add(seen.copiedTokens, copyMs, this.toldSums.copying);
 		}
@@ -154,8 +154,8 @@
 		this.cached = undefined;
 	}
 
-	answerSeen(answer: WholeAnswer): void {
-		const { events, expectedTokens, heldMs } = answer;
+	answerSeen(answer: CompletedAnswer): void {
+		const { events, expectedTokens, slotOccupancyMs: heldMs } = answer;
 		this.heldMs += (heldMs - this.heldMs) * heldShare;
 		const kept = Math.max(0, 1 - events / keepEvents);
 		this.events = this.events * kept + events;
@@ -195,46 +195,46 @@
 			service: this.ref,
 			reading: this.reading.sums,
 			copying: this.copying.sums,
-			eventMs: this.pause.value,
+			eventIntervalMs: this.pause.value,
 			eventWeight: this.pause.weight,
 			events: this.events,
 			expectedTokens: this.expectedTokens,
 		};
 	}
 
-	private compute(): CostFigures {
+	private compute(): CostEstimates {
 		const { toldSums } = this;
-		const reading = this.reading.read(toldSums.reading);
-		const copying = this.copying.read(toldSums.copying);
+		const reading = this.reading.fit(toldSums.reading);
+		const copying = this.copying.fit(toldSums.copying);
 		const eventMs = meanOf(this.pause, toldSums);
 		const events = priorEvents + this.events + toldSums.events;
 		const tokens =
 			priorEvents * prior.tokensPerEvent + this.expectedTokens + toldSums.expectedTokens;
 		return {
 			readMsPerToken: reading.slope,
-			firstMs: reading.base,
+			firstEventOverheadMs: reading.base,
 			copyMsPerToken: copying.slope,
 			copySetupMs: copying.base,
-			eventMs,
+			eventIntervalMs: eventMs,
 			answerMsPerToken: (eventMs * events) / tokens,
-			heldMs: this.heldMs,
+			slotOccupancyMs: this.heldMs,
 		};
 	}
 }
 
 export class CostModel {
 	/** How much faster or slower than the figures of its service each engine is. */
-	readonly speeds = new EngineSpeeds();
+	readonly paces = new EnginePaces();
 	private readonly services = new Map<number, ServiceCosts>();
 
 	/** Figures of a service, those of the prior before anything was seen. */
-	of(service: string): CostFigures {
+	of(service: string): CostEstimates {
 		return this.costsOf(rendezvous.hashText(service)).figures();
 	}
 
 	/** Figures of one engine of a service, by its own pace now. */
-	at(service: string, engine: EngineRef, now: number): CostFigures {
-		return paced(this.of(service), this.speeds.pace(service, engine, now));
+	ofEngine(service: string, engine: EngineRef, now: number): CostEstimates {
+		return scaleByPace(this.of(service), this.paces.pace(service, engine, now));
 	}
 
 	/** What stands behind the figures: first events that this VM saw, and VMs that told of theirs. */
@@ -244,25 +244,25 @@
 	}
 
 	/** The service's figures learn from it what an engine of usual pace would have taken. */
-	firstEvent(service: string, seen: FirstEvent): void {
+	recordFirstEvent(service: string, seen: FirstEventObservation): void {
 		const { engine, at, delayMs } = seen;
-		const { reading } = this.speeds.pace(service, engine, at);
+		const { reading } = this.paces.pace(service, engine, at);
 		this.paceSeen(service, seen);
 		const costs = this.costsOf(rendezvous.hashText(service));
 		costs.firstEvent({ ...seen, delayMs: delayMs / reading });
 	}
 
 	/** The same for a pause. */
-	pauseSeen(service: string, { ms, engine, at, calmMs }: Pause): void {
+	recordPause(service: string, { ms, engine, at, undisturbedMs: calmMs }: PauseObservation): void {
 		const costs = this.costsOf(rendezvous.hashText(service));
-		const { steps } = this.speeds.pace(service, engine, at);
+		const { steps } = this.paces.pace(service, engine, at);
 		if (calmMs !== undefined) {
-			this.speeds.pauseSeen(service, engine, calmMs / costs.figures().eventMs, at);
+			this.paces.recordPause(service, engine, calmMs / costs.figures().eventIntervalMs, at);
 		}
 		costs.pauseSeen(ms / steps);
 	}
 
-	answerSeen(service: string, answer: WholeAnswer): void {
+	recordAnswer(service: string, answer: CompletedAnswer): void {
 		this.costsOf(rendezvous.hashText(service)).answerSeen(answer);
 	}
 
@@ -274,29 +274,29 @@
 	}
 
 	/** What another VM tells, in place of what it told before. */
-	take(from: string, told: readonly CostSums[]): void {
+	merge(from: string, told: readonly CostSums[]): void {
 		for (const sums of told) {
 			this.costsOf(sums.service).take(from, sums);
 		}
 	}
 
 	/** Another VM no longer tells anything: others speak for what it has seen. Speeds that it told fade by themselves. */
-	forget(from: string): void {
+	removePeer(from: string): void {
 		for (const costs of this.services.values()) {
 			costs.forget(from);
 		}
 	}
 
-	private paceSeen(service: string, seen: FirstEvent): void {
+	private paceSeen(service: string, seen: FirstEventObservation): void {
 		const { engine, at, delayMs, promptTokens, aheadTokens, copiedTokens, isQueued } = seen;
 		if (isQueued || copiedTokens > 0) {
 			return;
 		}
 		const costs = this.of(service);
-		const ownMs = costs.firstMs + readingMs(costs, promptTokens);
+		const ownMs = costs.firstEventOverheadMs + readingMs(costs, promptTokens);
 		const expectedMs = ownMs + aheadTokens * costs.readMsPerToken;
 		// What others' prompts cost is known roughly.
-		this.speeds.firstEventSeen(service, engine, delayMs / expectedMs, ownMs / expectedMs, at);
+		this.paces.recordFirstEvent(service, engine, delayMs / expectedMs, ownMs / expectedMs, at);
 	}
 
 	private costsOf(ref: number): ServiceCosts {
@@ -315,25 +315,31 @@
 
 function noCosts(): Omit<CostSums, 'service'> {
 	const pause = { eventMs: 0, eventWeight: 0 };
-	return { reading: noSums(), copying: noSums(), ...pause, events: 0, expectedTokens: 0 };
+	return {
+		reading: emptyLineSums(),
+		copying: emptyLineSums(),
+		...pause,
+		events: 0,
+		expectedTokens: 0,
+	};
 }
 
 function sumOf(all: Iterable<CostSums>): Omit<CostSums, 'service'> {
 	const sum = noCosts();
 	for (const one of all) {
-		addSums(sum.reading, one.reading);
-		addSums(sum.copying, one.copying);
-		sum.eventMs += one.eventMs * one.eventWeight;
+		addLineSums(sum.reading, one.reading);
+		addLineSums(sum.copying, one.copying);
+		sum.eventIntervalMs += one.eventIntervalMs * one.eventWeight;
 		sum.eventWeight += one.eventWeight;
 		sum.events += one.events;
 		sum.expectedTokens += one.expectedTokens;
 	}
-	sum.eventMs /= Math.max(1, sum.eventWeight);
+	sum.eventIntervalMs /= Math.max(1, sum.eventWeight);
 	return sum;
 }
 
 /** Of this VM's pause and those told, each by the events behind it. */
-function meanOf(own: QuantileEstimate, told: { eventMs: number; eventWeight: number }): number {
+function meanOf(own: QuantileEstimator, told: { eventMs: number; eventWeight: number }): number {
 	const ownWeight = Math.max(1, own.weight);
 	const sum = own.value * ownWeight + told.eventMs * told.eventWeight;
 	return sum / (ownWeight + told.eventWeight);
--- a/src/core/engines/engine-directory.ts
+++ b/src/core/engines/engine-directory.ts
@@ -10,8 +10,8 @@
 import type { PrefixListener } from '../store/prefix-follower.js';
 import { eraOf, storedRevision } from '../store/revisions.js';
 import type { Engine } from './engine.js';
-import { PastStarts } from './past-starts.js';
-import type { EngineEntry } from './types.js';
+import { PastIncarnations } from './past-incarnations.js';
+import type { EngineRegistration } from './types.js';
 
 /** Lapsed registrations are back within about 2 s of the store's return, if the engine lives. */
 const returnMs = 1900;
@@ -25,15 +25,15 @@
 export interface EngineDirectoryOptions {
 	clock: Clock;
 	log: Log;
-	decode: (key: string, value: string) => EngineEntry;
+	decode: (key: string, value: string) => EngineRegistration;
 	idOf: (key: string) => string;
 	/** No engine listens at this address any more. */
-	onAddressGone: (address: string) => void;
-	onGone: (engine: Engine) => void;
+	onAddressUnused: (address: string) => void;
+	onRemoved: (engine: Engine) => void;
 	/** What registrations say changed. */
 	onChanged: () => void;
 	/** All registrations were read, from the store or a peer. */
-	onRead: () => void;
+	onLoaded: () => void;
 }
 
 export class EngineDirectory implements PrefixListener {
@@ -45,7 +45,7 @@
 	private readonly unreadable = new Map<string, number>();
 	/** Newest revision of the store that the directory shows. */
 	private shownRevision = 0;
-	private readonly starts: PastStarts;
+	private readonly starts: PastIncarnations;
 	private contentDigest = 0;
 	/** Hashes of what the registrations say, by id. */
 	private readonly contents = new Map<string, number>();
@@ -54,7 +54,7 @@
 	private storeBackAt = Number.NEGATIVE_INFINITY;
 
 	constructor(private readonly opts: EngineDirectoryOptions) {
-		this.starts = new PastStarts(opts.clock, opts.log);
+		this.starts = new PastIncarnations(opts.clock, opts.log);
 	}
 
 	get(id: string): Engine | undefined {
@@ -62,7 +62,7 @@
 	}
 
 	/** The engine that messages mean. */
-	ofRef(ref: EngineRef): Engine | undefined {
+	findByRef(ref: EngineRef): Engine | undefined {
 		return [...this.engines.values()].find((engine) => engine.ref === ref);
 	}
 
@@ -71,26 +71,26 @@
 	}
 
 	/** Engines of a service that may be given new work now, by id; health is not looked at. */
-	offered(service: string): Engine[] {
+	eligible(service: string): Engine[] {
 		const now = this.opts.clock.sinceBoot();
-		return this.present(service).filter(({ notices }) => notices.restLeftMs(now) === 0);
+		return this.present(service).filter(({ notices }) => notices.backOffLeftMs(now) === 0);
 	}
 
 	/** For how long no engine of a service may be given work because all rest, in milliseconds; 0 when it has none. */
-	restLeftMs(service: string): number {
+	backOffLeftMs(service: string): number {
 		const now = this.opts.clock.sinceBoot();
-		const left = this.present(service).map(({ notices }) => notices.restLeftMs(now));
+		const left = this.present(service).map(({ notices }) => notices.backOffLeftMs(now));
 		return left.length === 0 ? 0 : Math.min(...left);
 	}
 
 	/** Those that do not leave. */
 	private present(service: string): Engine[] {
 		const now = this.opts.clock.monotonic();
-		return (this.ofService.get(service) ?? []).filter((engine) => engine.isOffered(now));
+		return (this.ofService.get(service) ?? []).filter((engine) => engine.isEligible(now));
 	}
 
 	/** Whether all registrations were read once, from the store or a peer. */
-	get isKnown(): boolean {
+	get hasLoaded(): boolean {
 		return this.wasRead;
 	}
 
@@ -126,7 +126,7 @@
 	 * @returns whether the copy names no registration that is neither in it nor known here
 	 * @throws Error when the text is no copy of a directory
 	 */
-	takeCopy(text: string): boolean {
+	applyCopy(text: string): boolean {
 		const copy = JSON.parse(text) as DirectoryCopy;
 		if (copy.revision < this.shownRevision || copy.ids.length === 0) {
 			return true;
@@ -166,7 +166,7 @@
 				this.missing(id, now);
 			}
 		}
-		this.opts.onRead();
+		this.opts.onLoaded();
 	}
 
 	applyChanges(changes: StoreChanges): void {
@@ -204,15 +204,21 @@
 	private isWrittenNow(item: StoreItem): void {
 		const engine = this.engines.get(this.opts.idOf(item.key));
 		if (engine) {
-			engine.doubtedUntil = undefined;
+			engine.unconfirmedUntil = undefined;
 		}
 	}
 
 	/** A start that leaves is ready again only in an older copy of the store. */
-	private keepLeaving(known: Engine, entry: EngineEntry, before: number, revision: number): void {
-		const isOlder = known.entry.draining && !entry.draining && eraOf(before) < eraOf(revision);
+	private keepLeaving(
+		known: Engine,
+		entry: EngineRegistration,
+		before: number,
+		revision: number,
+	): void {
+		const isOlder =
+			known.registration.draining && !entry.draining && eraOf(before) < eraOf(revision);
 		if (isOlder) {
-			known.notices.heard({ leaving: true }, this.opts.clock.sinceBoot());
+			known.notices.apply({ isDraining: true }, this.opts.clock.sinceBoot());
 			this.opts.log.warn('engine.kept-leaving', { engine: known.id });
 		}
 	}
@@ -226,21 +232,21 @@
 			return;
 		}
 		const known = this.engines.get(entry.id);
-		const isSame = known?.isStartOf(entry) ?? false;
+		const isSame = known?.isSameIncarnation(entry) ?? false;
 		if (known && !isSame) {
 			this.remove(known, 'it began again');
 		}
 		const before = this.items.get(entry.id)?.revision ?? 0;
 		this.setItem(entry, item);
 		if (!known || !isSame) {
-			this.add(this.starts.engineOf(entry, item.revision), item.revision);
+			this.add(this.starts.createEngine(entry, item.revision), item.revision);
 			return;
 		}
 		this.keepLeaving(known, entry, before, item.revision);
-		if (entry.draining !== known.entry.draining) {
+		if (entry.draining !== known.registration.draining) {
 			this.logState(entry, item.revision);
 		}
-		known.entry = entry;
+		known.registration = entry;
 		known.missingUntil = undefined;
 	}
 
@@ -256,7 +262,7 @@
 	}
 
 	/** What is no engine's registration names no engine, whoever wrote it; it is logged once. */
-	private decode(item: StoreItem): EngineEntry | undefined {
+	private decode(item: StoreItem): EngineRegistration | undefined {
 		const id = this.opts.idOf(item.key);
 		try {
 			const entry = this.opts.decode(item.key, item.value);
@@ -279,11 +285,11 @@
 
 	private add(engine: Engine, revision: number): void {
 		this.engines.set(engine.id, engine);
-		const { service } = engine.entry;
+		const { service } = engine.registration;
 		const list = [...(this.ofService.get(service) ?? []), engine];
 		list.sort((a, b) => (a.id < b.id ? -1 : 1));
 		this.ofService.set(service, list);
-		this.logState(engine.entry, revision);
+		this.logState(engine.registration, revision);
 	}
 
 	/** The store says that the registration ended: it was there to see it. */
@@ -301,7 +307,7 @@
 		if (!engine) {
 			return;
 		}
-		const mayReturn = now < this.storeBackAt + returnMs && !engine.isLeaving;
+		const mayReturn = now < this.storeBackAt + returnMs && !engine.isDraining;
 		if (mayReturn) {
 			engine.missingUntil ??= this.storeBackAt + returnMs;
 		} else {
@@ -310,21 +316,21 @@
 	}
 
 	private remove(engine: Engine, reason: string): void {
-		const { id, service, address } = engine.entry;
-		engine.isGone = true;
-		this.starts.ended(engine, eraOf(this.shownRevision));
+		const { id, service, address } = engine.registration;
+		engine.isRemoved = true;
+		this.starts.recordEnd(engine, eraOf(this.shownRevision));
 		this.engines.delete(id);
 		this.removeItem(id);
 		const left = (this.ofService.get(service) ?? []).filter((other) => other !== engine);
 		this.ofService.set(service, left);
-		this.opts.onGone(engine);
+		this.opts.onRemoved(engine);
 		this.opts.log.info('engine.gone', { engine: id, service, reason });
-		if (![...this.engines.values()].some((other) => other.entry.address === address)) {
-			this.opts.onAddressGone(address);
+		if (![...this.engines.values()].some((other) => other.registration.address === address)) {
+			this.opts.onAddressUnused(address);
 		}
 	}
 
-	private setItem(entry: EngineEntry, item: StoreItem): void {
+	private setItem(entry: EngineRegistration, item: StoreItem): void {
 		this.items.set(entry.id, item);
 		this.setContent(entry.id, rendezvous.hashText(JSON.stringify(entry)));
 	}
@@ -344,7 +350,7 @@
 		}
 	}
 
-	private logState(entry: EngineEntry, revision: number): void {
+	private logState(entry: EngineRegistration, revision: number): void {
 		this.opts.log.info('engine.seen', {
 			engine: entry.id,
 			service: entry.service,
--- a/src/core/engines/engine-health.ts
+++ b/src/core/engines/engine-health.ts
@@ -27,11 +27,11 @@
 	private readingMsAwaited = 0;
 
 	/** Whether it may be given a request now. */
-	admits(now: number): boolean {
-		return !this.isClosed(now) && !this.isSilent(now);
+	isAvailable(now: number): boolean {
+		return !this.isCircuitOpen(now) && !this.isSilent(now);
 	}
 
-	isClosed(now: number): boolean {
+	isCircuitOpen(now: number): boolean {
 		return now < this.closedUntil || this.trial;
 	}
 
@@ -44,7 +44,7 @@
 	 * A request left for it.
 	 * @param readingMs what reading its prompt should take
 	 */
-	sent(now: number, readingMs: number): void {
+	recordSent(now: number, readingMs: number): void {
 		this.running++;
 		this.readingMsAwaited += readingMs;
 		this.awaitingSince ??= now;
@@ -52,12 +52,12 @@
 	}
 
 	/** Bytes came. */
-	heard(now: number): void {
+	recordActivity(now: number): void {
 		this.awaitingSince = this.running > 0 ? now : undefined;
 	}
 
 	/** A request that was sent has ended, however; `readingMs` as it was when it was sent. */
-	ended(readingMs: number): void {
+	recordEnd(readingMs: number): void {
 		this.running--;
 		this.readingMsAwaited -= readingMs;
 		// A trial that ended without a verdict, such as by its caller leaving, may be repeated.
@@ -67,7 +67,7 @@
 		}
 	}
 
-	succeeded(): void {
+	recordSuccess(): void {
 		this.failuresInRow = 0;
 		this.closedUntil = 0;
 		this.closeMs = firstCloseMs;
@@ -75,14 +75,14 @@
 	}
 
 	/** @returns true when the engine is closed by this failure */
-	failed(now: number): boolean {
+	recordFailure(now: number): boolean {
 		this.failuresInRow++;
 		this.trial = false;
 		return this.failuresInRow >= failuresToClose && this.close(now);
 	}
 
 	/** It says that it is too busy; it did not run the request. */
-	rejected(now: number): void {
+	recordRejection(now: number): void {
 		this.failuresInRow++;
 		this.trial = false;
 		if (this.failuresInRow >= failuresToClose) {
@@ -91,7 +91,7 @@
 	}
 
 	/** Nothing listens at its address, or nothing answers there. */
-	unreachable(now: number): boolean {
+	recordUnreachable(now: number): boolean {
 		this.failuresInRow++;
 		this.trial = false;
 		return this.close(now);
--- a/src/core/engines/engine-notices.ts
+++ b/src/core/engines/engine-notices.ts
@@ -7,9 +7,9 @@
 /** What the head of one answer says of its engine. */
 export interface EngineNotice {
 	/** It serves what it has and ends soon. */
-	leaving: boolean;
+	isDraining: boolean;
 	/** It wants no request from this VM for so many seconds; undefined when it did not say so. */
-	restS?: number;
+	backOffS?: number;
 	/** Requests a second that it takes from all VMs together; undefined when it named no limit. */
 	limitPerS?: number;
 }
@@ -22,7 +22,7 @@
 	private limitPerS?: number;
 
 	/** An engine never takes back that it leaves; only a later start of it is ready again. */
-	get isLeaving(): boolean {
+	get isDraining(): boolean {
 		return this.leaving;
 	}
 
@@ -30,7 +30,10 @@
 	 * @param now milliseconds since boot
 	 * @returns whether it tells anything new
 	 */
-	heard({ leaving, restS = 0, limitPerS }: EngineNotice, now: number): boolean {
+	apply(
+		{ isDraining: leaving, backOffS: restS = 0, limitPerS }: EngineNotice,
+		now: number,
+	): boolean {
 		const restUntil = now + restS * 1000;
 		const isLeavingNew = leaving && !this.leaving;
 		const isRestNew = restS > 0 && restUntil > this.restUntil;
@@ -44,7 +47,7 @@
 	}
 
 	/** For how long it still wants no request, in milliseconds; 0 when it takes some. */
-	restLeftMs(now: number): number {
+	backOffLeftMs(now: number): number {
 		return Math.max(0, this.restUntil - now);
 	}
 }
--- a/src/core/engines/engine-pace.ts
+++ b/src/core/engines/engine-pace.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import type { PaceKind, PaceSum, PaceSums } from './pace-sums.js';
-import { FadingSums, fadeMs, leastWeight, noPaceSums, paceKinds } from './pace-sums.js';
+import { DecayingSums, decayMs, emptyPaceSums, minWeight, paceKinds } from './pace-sums.js';
 
 /** Time after which an observation counts a third in the steady memory, in milliseconds. */
 const steadyMs = 30_000;
@@ -46,18 +46,18 @@
 }
 
 /** That of an engine of which nothing is known. */
-export const usualPace: Pace = { reading: 1, steps: 1 };
+export const nominalPace: Pace = { reading: 1, steps: 1 };
 
 /** Logarithms of the mean paces of a service's engines, beside which the pace of each is told. */
 export type PaceMeans = Readonly<Record<PaceKind, number>>;
 
 export class EnginePace {
 	/** What all VMs told lately and this one saw. */
-	readonly recent: FadingSums;
-	private readonly steady = noPaceSums();
+	readonly recent: DecayingSums;
+	private readonly steady = emptyPaceSums();
 	private at: number;
-	private settledPace = usualPace;
-	private settledSteady = usualPace;
+	private settledPace = nominalPace;
+	private settledSteady = nominalPace;
 	/** Weight of the quick memory when it was last looked at, and when that was. */
 	private seenWeight = 0;
 	private seenAt: number;
@@ -68,16 +68,16 @@
 
 	/** @param now monotonic milliseconds */
 	constructor(now: number) {
-		this.recent = new FadingSums(now);
+		this.recent = new DecayingSums(now);
 		this.at = now;
 		this.gainedAt = now;
 		this.seenAt = now;
 	}
 
 	/** Takes what fades from the quick memory over into the steady one. */
-	settle(now: number, means: PaceMeans): void {
+	advance(now: number, means: PaceMeans): void {
 		const passedMs = Math.max(0, now - this.at);
-		const moved = 1 - Math.exp(-passedMs / fadeMs);
+		const moved = 1 - Math.exp(-passedMs / decayMs);
 		const kept = Math.exp(-passedMs / steadyMs);
 		const before = this.recent.read(this.at);
 		const isPassing = this.isPassing(now);
@@ -140,20 +140,20 @@
 	}
 
 	/** Whether the quick memory decides. */
-	get isTurned(): boolean {
+	get isDeviating(): boolean {
 		return this.turnedAt !== undefined;
 	}
 
 	/** Whether both memories are empty. */
-	isForgotten(now: number): boolean {
+	isNegligible(now: number): boolean {
 		const { reading, steps } = this.steady;
-		return reading.weight + steps.weight < leastWeight && this.recent.isFaded(now);
+		return reading.weight + steps.weight < minWeight && this.recent.isNegligible(now);
 	}
 
 	private noteGain(now: number): void {
 		const { reading, steps } = this.recent.read(now);
 		const weight = reading.weight + steps.weight;
-		const kept = this.seenWeight * Math.exp(-Math.max(0, now - this.seenAt) / fadeMs);
+		const kept = this.seenWeight * Math.exp(-Math.max(0, now - this.seenAt) / decayMs);
 		if (weight - kept > weight * leastGain) {
 			this.gainedAt = now;
 		}
--- a/src/core/engines/engine-speeds.ts
+++ b/src/core/engines/engine-paces.ts
@@ -6,10 +6,10 @@
 import type { EngineRef } from '../fleet/types.js';
 import * as rendezvous from '../membership/rendezvous.js';
 import type { Pace } from './engine-pace.js';
-import { EnginePace, usualPace } from './engine-pace.js';
+import { EnginePace, nominalPace } from './engine-pace.js';
+import { PaceExportRotation } from './pace-export-rotation.js';
 import type { PaceKind, PaceSums } from './pace-sums.js';
-import { addPaceSums, FadingSums, noPaceSums, paceKinds } from './pace-sums.js';
-import { SpeedTurns } from './speed-turns.js';
+import { addPaceSums, DecayingSums, emptyPaceSums, paceKinds } from './pace-sums.js';
 
 /** A single observation counts as at most, and at least, so many times what was expected. */
 const outlierFactor = 10;
@@ -19,28 +19,28 @@
 const meanPrior = 10;
 
 /** What some VMs saw of one engine in the last second. */
-export interface EngineSums extends PaceSums {
+export interface EnginePaceSums extends PaceSums {
 	engine: EngineRef;
 }
 
 /** The same of a service's engines. */
-export interface SpeedSums {
+export interface ServicePaceSums {
 	/** 32 bits that stand for the service in messages. */
 	service: number;
-	engines: EngineSums[];
+	engines: EnginePaceSums[];
 }
 
 /** An engine's pace, for operators. */
-export interface EngineSpeed extends Pace {
+export interface ReportedPace extends Pace {
 	engine: EngineRef;
-	isTurned: boolean;
+	isDeviating: boolean;
 }
 
 class ServiceSpeeds {
 	private readonly engines = new Map<EngineRef, EnginePace>();
-	private readonly own = new Map<EngineRef, FadingSums>();
-	private readonly told = new Map<string, Map<EngineRef, FadingSums>>();
-	private readonly turns = new SpeedTurns();
+	private readonly own = new Map<EngineRef, DecayingSums>();
+	private readonly told = new Map<string, Map<EngineRef, DecayingSums>>();
+	private readonly turns = new PaceExportRotation();
 	private readonly means = { reading: 0, steps: 0 };
 	private settledAt = Number.NEGATIVE_INFINITY;
 
@@ -60,40 +60,44 @@
 
 	pace(engine: EngineRef, now: number): Pace {
 		this.settle(now);
-		return this.engines.get(engine)?.pace ?? usualPace;
+		return this.engines.get(engine)?.pace ?? nominalPace;
 	}
 
 	steadyPace(engine: EngineRef, now: number): Pace {
 		this.settle(now);
-		return this.engines.get(engine)?.steadyPace ?? usualPace;
+		return this.engines.get(engine)?.steadyPace ?? nominalPace;
 	}
 
-	speeds(now: number): EngineSpeed[] {
+	speeds(now: number): ReportedPace[] {
 		this.settle(now);
-		return [...this.engines].map(([engine, { pace, isTurned }]) => ({ engine, ...pace, isTurned }));
+		return [...this.engines].map(([engine, { pace, isDeviating: isTurned }]) => ({
+			engine,
+			...pace,
+			isTurned,
+		}));
 	}
 
-	export(names: readonly string[], now: number, most: number): SpeedSums {
+	export(names: readonly string[], now: number, most: number): ServicePaceSums {
 		this.settle(now);
 		const sums = new Map<EngineRef, PaceSums>();
 		const sources = [this.own, ...names.flatMap((name) => this.told.get(name) ?? [])];
 		for (const source of sources) {
 			for (const [engine, fading] of source) {
-				const sum = sums.get(engine) ?? noPaceSums();
+				const sum = sums.get(engine) ?? emptyPaceSums();
 				addPaceSums(sum, fading.read(now));
 				sums.set(engine, sum);
 			}
 		}
 		const isUrgent = (engine: EngineRef) => {
-			return this.engines.get(engine)?.isTurned ?? false;
+			return this.engines.get(engine)?.isDeviating ?? false;
 		};
 		const told = this.turns.next([...sums.keys()], isUrgent, most);
 		return { service: this.ref, engines: told.map((engine) => row(engine, sums.get(engine))) };
 	}
 
-	take(from: string, rows: readonly EngineSums[], now: number): void {
+	take(from: string, rows: readonly EnginePaceSums[], now: number): void {
 		this.settle(now);
-		const source = this.told.get(from) ?? new Map<EngineRef, FadingSums>();
+		const source = this.told.get(from) ?? new Map<EngineRef, DecayingSums>();
 		this.told.set(from, source);
 		for (const { engine, ...sums } of rows) {
 			const pace = this.paceOf(engine, now);
@@ -101,7 +105,7 @@
 			if (before) {
 				pace.recent.add(now, before.read(now), -1);
 			}
-			const fading = new FadingSums(now);
+			const fading = new DecayingSums(now);
 			fading.add(now, sums);
 			source.set(engine, fading);
 			pace.recent.add(now, sums);
@@ -133,10 +137,10 @@
 			return;
 		}
 		this.settledAt = now;
-		const all = noPaceSums();
-		const recent = noPaceSums();
+		const all = emptyPaceSums();
+		const recent = emptyPaceSums();
 		for (const pace of this.engines.values()) {
-			pace.settle(now, this.means);
+			pace.advance(now, this.means);
 			addPaceSums(all, pace.total(now, this.means));
 			addPaceSums(recent, pace.recent.read(now));
 		}
@@ -154,13 +158,13 @@
 
 	private dropFaded(now: number): void {
 		for (const [engine, pace] of this.engines) {
-			if (pace.isForgotten(now)) {
+			if (pace.isNegligible(now)) {
 				this.engines.delete(engine);
 			}
 		}
 		for (const source of [this.own, ...this.told.values()]) {
 			for (const [engine, fading] of source) {
-				if (fading.isFaded(now)) {
+				if (fading.isNegligible(now)) {
 					source.delete(engine);
 				}
 			}
@@ -168,14 +172,14 @@
 	}
 }
 
-export class EngineSpeeds {
+export class EnginePaces {
 	private readonly services = new Map<number, ServiceSpeeds>();
 
 	/**
 	 * @param ratio observed time over the time that the service's figures say
 	 * @param weight 1 where nothing else is known to have delayed it
 	 */
-	firstEventSeen(
+	recordFirstEvent(
 		service: string,
 		engine: EngineRef,
 		ratio: number,
@@ -186,7 +190,7 @@
 	}
 
 	/** A calm pause of a stream; `ratio` as for first events. */
-	pauseSeen(service: string, engine: EngineRef, ratio: number, now: number): void {
+	recordPause(service: string, engine: EngineRef, ratio: number, now: number): void {
 		this.of(service).pauseSeen(engine, ratio, now);
 	}
 
@@ -200,7 +204,7 @@
 		return this.of(service).steadyPace(engine, now);
 	}
 
-	speeds(service: string, now: number): EngineSpeed[] {
+	list(service: string, now: number): ReportedPace[] {
 		return this.of(service).speeds(now);
 	}
 
@@ -208,26 +212,26 @@
 	 * What this VM has seen lately, and what the named ones told.
 	 * @param most engines of a service that are told at once; the others follow in turn
 	 */
-	export(names: readonly string[], now: number, most: number): SpeedSums[] {
+	export(names: readonly string[], now: number, most: number): ServicePaceSums[] {
 		const all = [...this.services.values()].map((speeds) => speeds.export(names, now, most));
 		return all.filter(({ engines }) => engines.length > 0);
 	}
 
-	take(from: string, told: readonly SpeedSums[], now: number): void {
+	merge(from: string, told: readonly ServicePaceSums[], now: number): void {
 		for (const { service, engines } of told) {
 			this.ofRef(service).take(from, engines, now);
 		}
 	}
 
 	/** Another VM no longer tells anything. */
-	forget(from: string, now: number): void {
+	removePeer(from: string, now: number): void {
 		for (const speeds of this.services.values()) {
 			speeds.forget(from, now);
 		}
 	}
 
 	/** This start of an engine is over. */
-	forgetEngine(engine: EngineRef): void {
+	removeEngine(engine: EngineRef): void {
 		for (const speeds of this.services.values()) {
 			speeds.forgetEngine(engine);
 		}
@@ -244,12 +248,16 @@
 	}
 }
 
-function sumsOf(source: Map<EngineRef, FadingSums>, engine: EngineRef, now: number): FadingSums {
-	const sums = source.get(engine) ?? new FadingSums(now);
+function sumsOf(
+	source: Map<EngineRef, DecayingSums>,
+	engine: EngineRef,
+	now: number,
+): DecayingSums {
+	const sums = source.get(engine) ?? new DecayingSums(now);
 	source.set(engine, sums);
 	return sums;
 }
 
-function row(engine: EngineRef, sums = noPaceSums()): EngineSums {
+function row(engine: EngineRef, sums = emptyPaceSums()): EnginePaceSums {
 	return { engine, ...sums };
 }
--- a/src/core/engines/engine-division.ts
+++ b/src/core/engines/engine-partition.ts
@@ -20,41 +20,41 @@
 /** A service with fewer engines is not divided. */
 const leastDivided = 3;
 
-export interface Division {
-	long: ReadonlySet<string>;
-	short: ReadonlySet<string>;
+export interface PromptPools {
+	longPool: ReadonlySet<string>;
+	shortPool: ReadonlySet<string>;
 	/** What those of long prompts do, in engines of usual pace. */
 	longCapacity: number;
 }
 
-export class EngineDivision {
+export class EnginePartition {
 	private count?: number;
 	private key = '';
 	private ordered: readonly string[] = [];
-	private cached: Omit<Division, 'longCapacity'> = { long: new Set(), short: new Set() };
+	private cached: Omit<PromptPools, 'longCapacity'> = { longPool: new Set(), shortPool: new Set() };
 
 	/**
 	 * @param engines those of one service that may be given work
 	 * @param capacityOf what an engine does, in engines of usual pace
 	 */
-	divide(
+	partition(
 		engines: readonly Engine[],
 		demand: Demand,
 		capacityOf: (engine: Engine) => number = () => 1,
-	): Division {
+	): PromptPools {
 		const capacities = new Map(engines.map((engine) => [engine.id, capacityOf(engine)]));
 		const ids = [...capacities.keys()];
 		if (ids.length < leastDivided) {
 			const all = new Set(ids);
-			return { long: all, short: all, longCapacity: capacityOfAll(ids, capacities) };
+			return { longPool: all, shortPool: all, longCapacity: capacityOfAll(ids, capacities) };
 		}
 		this.order(ids);
 		const count = this.longCount(capacities, demand);
 		const { ordered } = this;
-		if (this.cached.long.size !== count) {
+		if (this.cached.longPool.size !== count) {
 			this.cached = {
-				long: new Set(ordered.slice(0, count)),
-				short: new Set(ordered.slice(count)),
+				longPool: new Set(ordered.slice(0, count)),
+				shortPool: new Set(ordered.slice(count)),
 			};
 		}
 		return { ...this.cached, longCapacity: capacityOfAll(ordered.slice(0, count), capacities) };
@@ -65,7 +65,7 @@
 		if (key !== this.key) {
 			this.key = key;
 			this.ordered = rendezvous.pickTop('division', ids, ids.length);
-			this.cached = { long: new Set(), short: new Set() };
+			this.cached = { longPool: new Set(), shortPool: new Set() };
 		}
 	}
 
--- a/src/core/engines/estimators.ts
+++ b/src/core/engines/estimators.ts
@@ -28,16 +28,16 @@
 export interface LinePrior extends Line {
 	/** The prior weighs as much as so many observations at 0 and at `at`. */
 	observations: number;
-	at: number;
+	referenceX: number;
 	/** Observations are as uncertain as they are large; those below this are equally uncertain. */
-	unit: number;
+	noiseFloor: number;
 }
 
-export function noSums(): LineSums {
+export function emptyLineSums(): LineSums {
 	return { weight: 0, x: 0, y: 0, xx: 0, xy: 0 };
 }
 
-export function addSums(to: LineSums, other: LineSums): void {
+export function addLineSums(to: LineSums, other: LineSums): void {
 	to.weight += other.weight;
 	to.x += other.x;
 	to.y += other.y;
@@ -46,34 +46,34 @@
 }
 
 /** Least squares with forgetting; `told` are the sums of other VMs. */
-export class LineEstimate {
-	readonly sums = noSums();
-	private readonly priorSums = noSums();
+export class LineEstimator {
+	readonly sums = emptyLineSums();
+	private readonly priorSums = emptyLineSums();
 
 	/** @param keep observations after which an old one counts a third */
 	constructor(
 		private readonly prior: LinePrior,
 		private readonly keep: number,
 	) {
-		for (const x of [0, prior.at]) {
+		for (const x of [0, prior.referenceX]) {
 			const y = prior.base + prior.slope * x;
 			addPair(this.priorSums, x, y, prior.observations * this.weightOf(x));
 		}
 	}
 
 	add(x: number, y: number, told: LineSums): void {
-		const { base, slope } = this.read(told);
+		const { base, slope } = this.fit(told);
 		const expected = base + slope * x;
 		const bounded = Math.min(Math.max(y, expected / outlierFactor), expected * outlierFactor);
 		forget(this.sums, 1 - 1 / this.keep);
 		addPair(this.sums, x, bounded, this.weightOf(x));
 	}
 
-	read(told: LineSums): Line {
-		const all = noSums();
-		addSums(all, this.priorSums);
-		addSums(all, this.sums);
-		addSums(all, told);
+	fit(told: LineSums): Line {
+		const all = emptyLineSums();
+		addLineSums(all, this.priorSums);
+		addLineSums(all, this.sums);
+		addLineSums(all, told);
 		const spread = all.weight * all.xx - all.x * all.x;
 		const slope = (all.weight * all.xy - all.x * all.y) / spread;
 		const bounded = within(slope, this.prior.slope);
@@ -82,13 +82,13 @@
 	}
 
 	private weightOf(x: number): number {
-		const { unit } = this.prior;
+		const { noiseFloor: unit } = this.prior;
 		return (unit / (unit + x)) ** 2;
 	}
 }
 
 /** A quantile that moves a small step with each observation. */
-export class QuantileEstimate {
+export class QuantileEstimator {
 	private current: number;
 	private seen = 0;
 
--- a/src/core/engines/fleet-health.ts
+++ b/src/core/engines/fleet-health.ts
@@ -8,8 +8,13 @@
  */
 import type { Clock, Log, Random } from '../definitions.js';
 import type { EngineRef } from '../fleet/types.js';
-import type { EngineAnswers } from './recent-answers.js';
-import { addAnswers, isEqual, noAnswers, RecentAnswers } from './recent-answers.js';
+import type { EngineAnswerCounts } from './recent-answers.js';
+import {
+	addAnswerCounts,
+	areCountsEqual,
+	emptyAnswerCounts,
+	RecentAnswers,
+} from './recent-answers.js';
 
 /** Failures of the last seconds after which an engine is closed for the whole fleet: as many as one VM needs. */
 const failuresToClose = 3;
@@ -47,25 +52,25 @@
 	log: Log;
 	random: Random;
 	/** VMs that are heard, this one included. */
-	heardVms: () => number;
+	countLiveVms: () => number;
 	/** Something is to be told to the other VMs. */
-	onNews: () => void;
+	onUpdate: () => void;
 	engineId: (ref: EngineRef) => string | undefined;
 }
 
 /** What is told to other VMs, and heard of them. */
-export interface AnswerNews {
+export interface AnswerGossip {
 	/** @param names VMs whose answers are added to those of this VM */
-	export(names: readonly string[]): EngineAnswers[];
+	export(names: readonly string[]): EngineAnswerCounts[];
 	/**
 	 * @param isTotal the rows contain this VM's own answers
 	 * @returns whether they differ from what was told before
 	 */
-	take(from: string, rows: readonly EngineAnswers[], isTotal: boolean): boolean;
-	forget(from: string): void;
+	merge(from: string, rows: readonly EngineAnswerCounts[], isTotal: boolean): boolean;
+	removePeer(from: string): void;
 }
 
-export class FleetHealth implements AnswerNews {
+export class FleetHealth implements AnswerGossip {
 	private readonly own: RecentAnswers;
 	private readonly told = new Map<string, ToldAnswers>();
 	private readonly verdicts = new Map<EngineRef, Verdict>();
@@ -75,18 +80,18 @@
 	}
 
 	/** The engine failed a request of this VM, or could not be reached. */
-	failed({ ref }: Referred): void {
-		this.own.failed(ref);
+	recordFailure({ ref }: Referred): void {
+		this.own.recordFailure(ref);
 		this.judge(ref);
-		this.opts.onNews();
+		this.opts.onUpdate();
 	}
 
 	/** The engine served a request of this VM to its end. */
-	served({ ref }: Referred): void {
-		this.own.served(ref);
+	recordSuccess({ ref }: Referred): void {
+		this.own.recordSuccess(ref);
 		if (this.verdicts.has(ref)) {
 			this.judge(ref);
-			this.opts.onNews();
+			this.opts.onUpdate();
 		}
 	}
 
@@ -94,7 +99,7 @@
 	 * Engines that the fleet's answers do not speak against; all of them where these would be too few.
 	 * @param engines those of one service that may be given work otherwise
 	 */
-	admitted<T extends Referred>(engines: readonly T[]): readonly T[] {
+	filterAvailable<T extends Referred>(engines: readonly T[]): readonly T[] {
 		if (this.verdicts.size === 0) {
 			return engines;
 		}
@@ -103,14 +108,14 @@
 		return open.length < engines.length * mostClosedShare ? engines : open;
 	}
 
-	export(names: readonly string[]): EngineAnswers[] {
+	export(names: readonly string[]): EngineAnswerCounts[] {
 		const told = names.map((name) => this.told.get(name));
-		const rows: EngineAnswers[] = [];
+		const rows: EngineAnswerCounts[] = [];
 		for (const ref of this.doubted()) {
-			const row = noAnswers(ref);
-			addAnswers(row, this.own.of(ref));
+			const row = emptyAnswerCounts(ref);
+			addAnswerCounts(row, this.own.of(ref));
 			for (const answers of told) {
-				addAnswers(row, answers?.rows.get(ref));
+				addAnswerCounts(row, answers?.rows.get(ref));
 			}
 			if (row.failed > 0 || row.served > 0) {
 				rows.push(row);
@@ -119,9 +124,9 @@
 		return rows.sort((a, b) => b.failed - a.failed).slice(0, rowsEach);
 	}
 
-	take(from: string, rows: readonly EngineAnswers[], isTotal: boolean): boolean {
+	merge(from: string, rows: readonly EngineAnswerCounts[], isTotal: boolean): boolean {
 		const before = this.told.get(from)?.rows;
-		const isNew = rows.some((row) => !isEqual(row, before?.get(row.engine)));
+		const isNew = rows.some((row) => !areCountsEqual(row, before?.get(row.engine)));
 		if (rows.length === 0) {
 			this.told.delete(from);
 			return false;
@@ -133,7 +138,7 @@
 		return isNew;
 	}
 
-	forget(from: string): void {
+	removePeer(from: string): void {
 		this.told.delete(from);
 	}
 
@@ -153,7 +158,7 @@
 
 	/** Engines of which any VM tells a failure, or that are closed or on trial. */
 	private doubted(): ReadonlySet<EngineRef> {
-		const refs = new Set([...this.own.failing(), ...this.verdicts.keys()]);
+		const refs = new Set([...this.own.failingEngines(), ...this.verdicts.keys()]);
 		for (const { rows } of this.told.values()) {
 			for (const ref of rows.keys()) {
 				refs.add(ref);
@@ -163,10 +168,10 @@
 	}
 
 	/** Answers of the whole fleet. */
-	private totalOf(ref: EngineRef): EngineAnswers {
-		const sum = noAnswers(ref);
+	private totalOf(ref: EngineRef): EngineAnswerCounts {
+		const sum = emptyAnswerCounts(ref);
 		const own = this.own.of(ref);
-		addAnswers(sum, own);
+		addAnswerCounts(sum, own);
 		for (const { rows, isTotal } of this.told.values()) {
 			const row = rows.get(ref);
 			if (isTotal && row) {
@@ -175,7 +180,7 @@
 				sum.served = Math.max(own.served, row.served);
 				sum.failingVms = Math.max(own.failingVms, row.failingVms);
 			} else {
-				addAnswers(sum, row);
+				addAnswerCounts(sum, row);
 			}
 		}
 		return sum;
@@ -194,7 +199,7 @@
 	}
 
 	/** What was remembered when it was closed is forgotten by now: every answer is one of the trial. */
-	private judgeTrial(ref: EngineRef, total: EngineAnswers, { closeMs }: Verdict): void {
+	private judgeTrial(ref: EngineRef, total: EngineAnswerCounts, { closeMs }: Verdict): void {
 		if (total.failed > 0) {
 			this.close(ref, total, Math.min(closeMs * 2, maxCloseMs));
 		} else if (total.served > 0) {
@@ -203,13 +208,13 @@
 		}
 	}
 
-	private failsFleet({ failed, served, failingVms }: EngineAnswers): boolean {
-		const vms = Math.min(vmsToClose, this.opts.heardVms());
+	private failsFleet({ failed, served, failingVms }: EngineAnswerCounts): boolean {
+		const vms = Math.min(vmsToClose, this.opts.countLiveVms());
 		const share = failed / (failed + served);
 		return failed >= failuresToClose && share >= shareToClose && failingVms >= vms;
 	}
 
-	private close(ref: EngineRef, { failed, served }: EngineAnswers, closeMs: number): void {
+	private close(ref: EngineRef, { failed, served }: EngineAnswerCounts, closeMs: number): void {
 		const closedUntil = this.now + closeMs;
 		const trialAt = closedUntil + this.opts.random.next() * trialSpreadMs;
 		this.verdicts.set(ref, { closeMs, closedUntil, trialAt });
@@ -224,6 +229,6 @@
 
 /** What one VM told last. */
 interface ToldAnswers {
-	rows: ReadonlyMap<EngineRef, EngineAnswers>;
+	rows: ReadonlyMap<EngineRef, EngineAnswerCounts>;
 	isTotal: boolean;
 }
--- a/src/core/engines/bearable-pause.ts
+++ b/src/core/engines/long-prompt.ts
@@ -2,7 +2,7 @@
  * How long an engine may read a prompt before the streams beside it pause for too long.
  * @module
  */
-import type { CostFigures } from './work-estimate.js';
+import type { CostEstimates } from './work-estimate.js';
 import { readingMs } from './work-estimate.js';
 
 /** An engine may read for this share of the pause that the most delicate streams of its service can still bear. */
@@ -14,11 +14,14 @@
  * Milliseconds of reading that the streams of a service can bear; without limit where none has a target pause.
  * @param tightestPauseMs shortest of the target pauses of the service's streams
  */
-export function bearableMs(tightestPauseMs: number | undefined, costs: CostFigures): number {
+export function maxReadingMs(tightestPauseMs: number | undefined, costs: CostEstimates): number {
 	if (tightestPauseMs === undefined) {
 		return Number.POSITIVE_INFINITY;
 	}
-	const leftMs = Math.max(tightestPauseMs - costs.eventMs, tightestPauseMs * leastPauseLeft);
+	const leftMs = Math.max(
+		tightestPauseMs - costs.eventIntervalMs,
+		tightestPauseMs * leastPauseLeft,
+	);
 	return leftMs * pauseShare;
 }
 
@@ -30,7 +33,7 @@
 export function isLongPrompt(
 	promptTokens: number,
 	tightestPauseMs: number | undefined,
-	costs: CostFigures,
+	costs: CostEstimates,
 ): boolean {
-	return readingMs(costs, promptTokens) > bearableMs(tightestPauseMs, costs);
+	return readingMs(costs, promptTokens) > maxReadingMs(tightestPauseMs, costs);
 }
--- a/src/core/engines/overload.ts
+++ b/src/core/engines/overload.ts
@@ -20,22 +20,22 @@
 /** Engines that are that busy refuse from a wait of this share of the target on. */
 const busyWait = 0.5;
 /** Seconds after which a refused caller may come back: a queue at its limit drains in less, once the burst lets it. */
-export const comeBackS = 1;
+export const refusalRetryAfterS = 1;
 
 /** What awaits a request at the best engine, in milliseconds. */
-export interface Awaited {
+export interface ExpectedWait {
 	/** Until its prompt begins to be read. */
 	queueMs: number;
 	/** For reading it. */
-	ownMs: number;
+	ownReadingMs: number;
 }
 
 /**
  * @param targetMs time within which the first event should come
  * @param busyShare how busy long prompts keep the engines that read them; 0 for a short prompt
  */
-export function isOverloaded(awaited: Awaited, targetMs: number, busyShare: number): boolean {
-	const waitMs = awaited.queueMs + Math.min(awaited.ownMs, targetMs * ownShare);
+export function shouldRefuse(awaited: ExpectedWait, targetMs: number, busyShare: number): boolean {
+	const waitMs = awaited.queueMs + Math.min(awaited.ownReadingMs, targetMs * ownShare);
 	const longest = busyShare > mostBusy ? busyWait : longestWait;
 	return waitMs > targetMs * longest;
 }
--- a/src/core/engines/speed-turns.ts
+++ b/src/core/engines/pace-export-rotation.ts
@@ -7,7 +7,7 @@
 /** Engines that changed take this share of a message at the most: the others must be heard of too. */
 const urgentShare = 0.5;
 
-export class SpeedTurns {
+export class PaceExportRotation {
 	private lastUrgent = 0;
 	private lastOther = 0;
 
--- a/src/core/engines/pace-sums.ts
+++ b/src/core/engines/pace-sums.ts
@@ -20,11 +20,11 @@
 export const paceKinds: readonly PaceKind[] = ['reading', 'steps'];
 
 /** Time after which an observation counts a third, in milliseconds: a change shows in a second or two. */
-export const fadeMs = 1000;
+export const decayMs = 1000;
 /** Sums that weigh less than a twentieth of an observation are forgotten. */
-export const leastWeight = 0.05;
+export const minWeight = 0.05;
 
-export function noPaceSums(): PaceSums {
+export function emptyPaceSums(): PaceSums {
 	return { reading: { weight: 0, sum: 0 }, steps: { weight: 0, sum: 0 } };
 }
 
@@ -37,15 +37,15 @@
 }
 
 /** Sums of the last seconds; all fade alike, so that faded sums can be added up and taken off. */
-export class FadingSums {
-	private readonly sums = noPaceSums();
+export class DecayingSums {
+	private readonly sums = emptyPaceSums();
 
 	/** @param at monotonic milliseconds */
 	constructor(private at: number) {}
 
 	/** Sums as they count at a time. */
 	read(now: number): Readonly<PaceSums> {
-		const left = Math.exp(-Math.max(0, now - this.at) / fadeMs);
+		const left = Math.exp(-Math.max(0, now - this.at) / decayMs);
 		for (const kind of paceKinds) {
 			this.sums[kind].weight *= left;
 			this.sums[kind].sum *= left;
@@ -67,8 +67,8 @@
 	}
 
 	/** Whether too little is left to tell anything. */
-	isFaded(now: number): boolean {
+	isNegligible(now: number): boolean {
 		const { reading, steps } = this.read(now);
-		return reading.weight + steps.weight < leastWeight;
+		return reading.weight + steps.weight < minWeight;
 	}
 }
--- a/src/core/engines/past-starts.ts
+++ b/src/core/engines/past-incarnations.ts
@@ -5,9 +5,9 @@
  */
 import type { Clock, Log } from '../definitions.js';
 import { eraOf } from '../store/revisions.js';
-import { Engine, startKey } from './engine.js';
+import { Engine, incarnationKeyOf } from './engine.js';
 import { EngineNotices } from './engine-notices.js';
-import type { EngineEntry } from './types.js';
+import type { EngineRegistration } from './types.js';
 
 /**
  * What a start of an engine said is kept for so long after its registration went, in milliseconds: the longest lease, and
@@ -28,7 +28,7 @@
 	endedIn?: number;
 }
 
-export class PastStarts {
+export class PastIncarnations {
 	private readonly byKey = new Map<string, Start>();
 
 	constructor(
@@ -40,20 +40,20 @@
 	 * The engine of a new registration. What the same start said before counts on. One that had ended, and stands in a later era of
 	 * the store, may stand there in an older copy only: it is doubted until it is written again.
 	 */
-	engineOf(entry: EngineEntry, revision: number): Engine {
-		const key = startKey(entry);
+	createEngine(entry: EngineRegistration, revision: number): Engine {
+		const key = incarnationKeyOf(entry);
 		const { notices = new EngineNotices(), endedIn } = this.byKey.get(key) ?? {};
 		this.byKey.set(key, { notices });
 		const engine = new Engine(entry, notices);
 		if (endedIn !== undefined && endedIn < eraOf(revision)) {
-			engine.doubtedUntil = this.clock.monotonic() + doubtMs;
+			engine.unconfirmedUntil = this.clock.monotonic() + doubtMs;
 			this.log.warn('engine.doubted', { engine: entry.id, ms: doubtMs });
 		}
 		return engine;
 	}
 
 	/** @param endedIn era of the store in which the registration ended */
-	ended({ key, notices }: Engine, endedIn: number): void {
+	recordEnd({ incarnationKey: key, notices }: Engine, endedIn: number): void {
 		this.byKey.set(key, { notices, endedIn, keptUntil: this.clock.sinceBoot() + keptMs });
 	}
 
--- a/src/core/engines/pause-risk.ts
+++ b/src/core/engines/pause-penalty.ts
@@ -3,7 +3,7 @@
  * target are left to callers that can bear it.
  * @module
  */
-import type { CostFigures } from './work-estimate.js';
+import type { CostEstimates } from './work-estimate.js';
 
 /** An undisturbed pause of up to this share of the target leaves room for prompts that are read beside: they make it several times as long. */
 const bearableShare = 0.25;
@@ -14,15 +14,15 @@
  * @param targetPauseMs undefined where the caller names none
  * @param targetMs within which the first event should come
  */
-export function pauseRiskMs(
-	costs: CostFigures,
+export function pausePenaltyMs(
+	costs: CostEstimates,
 	targetPauseMs: number | undefined,
 	targetMs: number,
 ): number {
 	if (targetPauseMs === undefined) {
 		return 0;
 	}
-	const share = costs.eventMs / targetPauseMs;
+	const share = costs.eventIntervalMs / targetPauseMs;
 	const over = Math.max(0, share - bearableShare) / (1 - bearableShare);
 	return over * targetMs;
 }
--- a/src/core/engines/placement-types.ts
+++ b/src/core/engines/placement-types.ts
@@ -8,11 +8,11 @@
 import type { ModelCapacity } from '../routing/types.js';
 import type { Engine } from './engine.js';
 import type { Pace } from './engine-pace.js';
-import type { CostFigures } from './work-estimate.js';
+import type { CostEstimates } from './work-estimate.js';
 
 export interface PlacementRequest {
 	service: string;
-	parts: readonly PromptSegment[];
+	segments: readonly PromptSegment[];
 	promptTokens: number;
 	answerTokens: number;
 	/** The first event should come within this time, in milliseconds. */
@@ -23,7 +23,7 @@
 	targetPauseMs?: number;
 	model?: ModelCapacity;
 	/** No route of the service has a less urgent tier. */
-	leastUrgent: boolean;
+	isLeastUrgentTier: boolean;
 	/** Engines that already had this request. */
 	tried: ReadonlySet<string>;
 	/** Whether an engine can take it now, as far as the requests a second that the engine names are known. */
@@ -63,38 +63,38 @@
 	engine: Engine;
 	work: EngineWork;
 	/** What work costs there. */
-	costs: CostFigures;
+	costs: CostEstimates;
 	/** Milliseconds until its prompt begins to be read, and for reading it. */
 	queueMs: number;
-	ownMs: number;
+	ownReadingMs: number;
 	/** Milliseconds until its first event. */
 	waitMs: number;
 	/** Wait and what it costs the others, in steps. */
-	cost: number;
-	uncached: number;
-	cached: number;
-	copied: number;
+	costSteps: number;
+	uncachedTokens: number;
+	cachedTokens: number;
+	copiedTokens: number;
 	/** Of equal costs the higher is taken. */
-	score: number;
+	tieBreakScore: number;
 }
 
 /** Which engines keep how much of the start of a prompt. */
-export interface Kept {
-	by: ReadonlyMap<EngineRef, CachedTokens>;
+export interface CachedPrefixes {
+	byEngine: ReadonlyMap<EngineRef, CachedTokens>;
 	/** The engine from which most of it can be copied, and how much. */
 	copyFrom?: Engine;
-	copyable: number;
+	copyableTokens: number;
 }
 
 /** What is the same for all engines that one request is weighed against. */
-export interface Weighing {
+export interface ScoringContext {
 	req: PlacementRequest;
-	kept: Kept;
+	cachedPrefixes: CachedPrefixes;
 	/** Tokens that it shares with others, and the last part of those. */
 	sharedTokens: number;
-	key: string;
+	affinityKey: string;
 	/** What it saves the next ones to read that where they look for it, in milliseconds. */
-	meetingMs: number;
+	affinityBonusMs: number;
 	/** Monotonic milliseconds. */
 	now: number;
 }
--- a/src/core/engines/placement.ts
+++ b/src/core/engines/placement.ts
@@ -8,26 +8,26 @@
 import type { CachedTokens } from '../fleet/prefix-cache-map.js';
 import * as rendezvous from '../membership/rendezvous.js';
 import type { PromptSegment } from '../relay/definitions.js';
-import { bearableMs, isLongPrompt } from './bearable-pause.js';
+import { affinityEnginesOf } from './affinity-engines.js';
 import type { CostModel } from './cost-model.js';
 import type { Engine } from './engine.js';
-import type { Division } from './engine-division.js';
-import { EngineDivision } from './engine-division.js';
-import { usualPace } from './engine-pace.js';
+import { nominalPace } from './engine-pace.js';
+import type { PromptPools } from './engine-partition.js';
+import { EnginePartition } from './engine-partition.js';
 import { sampleEngines, sampleSize } from './engine-sample.js';
-import { homesOf } from './home-engines.js';
-import { comeBackS, isOverloaded } from './overload.js';
-import { pauseRiskMs } from './pause-risk.js';
+import { isLongPrompt, maxReadingMs } from './long-prompt.js';
+import { refusalRetryAfterS, shouldRefuse } from './overload.js';
+import { pausePenaltyMs } from './pause-penalty.js';
 import type {
+	CachedPrefixes,
 	Candidate,
-	Kept,
 	Placement,
 	PlacementRequest,
 	Refusal,
-	Weighing,
+	ScoringContext,
 } from './placement-types.js';
 import { slotWaitMs } from './slot-wait.js';
-import { copyingMs, longWorkMs, readingMs, shortWorkMs } from './work-estimate.js';
+import { copyingMs, longPromptWorkMs, readingMs, shortPromptWorkMs } from './work-estimate.js';
 
 /**
  * Reading a shared part again costs so many times its reading, beside the reading itself: a request goes to another
@@ -70,7 +70,7 @@
 const nothingKept: CachedTokens = { cached: 0, copyable: 0 };
 
 export class EnginePlacement {
-	private readonly divisions = new Map<string, EngineDivision>();
+	private readonly divisions = new Map<string, EnginePartition>();
 
 	/** @param hasFree whether a connection to an address is open and unused: new ones are slow and dear */
 	constructor(
@@ -83,30 +83,32 @@
 	/** @param engines those of the service that may be given work, in an order all VMs share */
 	choose(req: PlacementRequest, engines: readonly Engine[], now: number): Placement | Refusal {
 		const open = engines.filter((engine) => {
-			return !req.tried.has(engine.id) && engine.health.admits(now) && req.admits(engine);
+			return !req.tried.has(engine.id) && engine.health.isAvailable(now) && req.admits(engine);
 		});
 		if (open.length === 0) {
-			return { refusal: 'no engine of the service can be used', retryAfterS: comeBackS };
+			return { refusal: 'no engine of the service can be used', retryAfterS: refusalRetryAfterS };
 		}
-		return req.parts.length === 0
+		return req.segments.length === 0
 			? this.leastRunning(open)
 			: this.byPrompt(req, engines, open, now);
 	}
 
 	/** The one with the fewest of the fleet's requests; of several any. */
 	private leastRunning(open: readonly Engine[]): Placement {
-		const loads = open.map((engine) => this.fleet.workAt(engine.key).running / engine.entry.slots);
+		const loads = open.map(
+			(engine) => this.fleet.workAt(engine.incarnationKey).running / engine.registration.slots,
+		);
 		const least = Math.min(...loads);
 		const best = open.filter((_, at) => loads[at] === least);
 		const engine = best[Math.floor(this.random.next() * best.length)] as Engine;
 		const reason = `least running ${least.toFixed(2)}`;
-		const work = this.fleet.workAt(engine.key);
+		const work = this.fleet.workAt(engine.incarnationKey);
 		const tokens = {
 			promptTokens: 0,
 			readingMs: 0,
 			waitMs: 0,
 			readMsPerToken: 0,
-			pace: usualPace,
+			pace: nominalPace,
 			cachedTokens: 0,
 			copiedTokens: 0,
 		};
@@ -123,35 +125,35 @@
 		const kept = this.keptOf(req, open);
 		const isLong = isLongPrompt(req.promptTokens, req.tightestPauseMs, costs);
 		const division = this.divisionOf(req.service, divided(engines, req), now);
-		const side = isLong ? division.long : division.short;
-		const shared = req.parts.slice(0, -1);
+		const side = isLong ? division.longPool : division.shortPool;
+		const shared = req.segments.slice(0, -1);
 		const sharedTokens = tokensOf(shared);
-		const key = shared.at(-1)?.id ?? req.parts[0]?.id ?? '';
+		const key = shared.at(-1)?.id ?? req.segments[0]?.id ?? '';
 		const meetingMs = readingMs(costs, sharedTokens) * meetingShare;
 		const weighing = { req, kept, sharedTokens, key, meetingMs, now };
 		const best = this.bestOf(weighing, open, side, isLong);
-		const awaited = { queueMs: this.queueLeftMs(best), ownMs: best.ownMs };
+		const awaited = { queueMs: this.queueLeftMs(best), ownMs: best.ownReadingMs };
 		if (
-			req.leastUrgent &&
-			isOverloaded(awaited, req.targetMs, this.busyShare(isLong, division.longCapacity))
+			req.isLeastUrgentTier &&
+			shouldRefuse(awaited, req.targetMs, this.busyShare(isLong, division.longCapacity))
 		) {
 			const refusal = `the prompt would wait ${Math.round(awaited.queueMs)} ms for others`;
-			return { refusal, retryAfterS: comeBackS };
+			return { refusal, retryAfterS: refusalRetryAfterS };
 		}
-		const { engine, uncached, waitMs } = best;
+		const { engine, uncachedTokens: uncached, waitMs } = best;
 		const size = { promptTokens: uncached, answerTokens: req.answerTokens };
-		const workMs = isLong ? longWorkMs : shortWorkMs;
-		this.fleet.recordArrival(workMs(costs, size, engine.entry.slots), isLong);
+		const workMs = isLong ? longPromptWorkMs : shortPromptWorkMs;
+		this.fleet.recordArrival(workMs(costs, size, engine.registration.slots), isLong);
 		return {
 			engine,
 			promptTokens: uncached,
 			readingMs: readingMs(best.costs, uncached),
 			waitMs,
 			readMsPerToken: best.costs.readMsPerToken,
-			pace: this.costs.speeds.pace(req.service, engine.ref, now),
-			cachedTokens: best.cached,
-			copiedTokens: best.copied,
-			copyFrom: best.copied > 0 ? kept.copyFrom : undefined,
+			pace: this.costs.paces.pace(req.service, engine.ref, now),
+			cachedTokens: best.cachedTokens,
+			copiedTokens: best.copiedTokens,
+			copyFrom: best.copiedTokens > 0 ? kept.copyFrom : undefined,
 			work: best.work,
 			reason: `${isLong ? 'long' : 'short'} prompt, wait ${Math.round(waitMs)} ms`,
 		};
@@ -159,7 +161,7 @@
 
 	/** The cheapest engine of the request's side, or of all where that one is much cheaper. */
 	private bestOf(
-		weighing: Weighing,
+		weighing: ScoringContext,
 		open: readonly Engine[],
 		side: ReadonlySet<string>,
 		isLong: boolean,
@@ -173,8 +175,8 @@
 		const others = open.filter((engine) => !side.has(engine.id));
 		const weighed = this.weighed(weighing, others, []);
 		// Engines of long prompts are overloaded in a burst of them, while those of short ones have time.
-		const isBearable = ({ queueMs, ownMs, costs }: Candidate) => {
-			return queueMs + ownMs <= bearableMs(weighing.req.tightestPauseMs, costs);
+		const isBearable = ({ queueMs, ownReadingMs: ownMs, costs }: Candidate) => {
+			return queueMs + ownMs <= maxReadingMs(weighing.req.tightestPauseMs, costs);
 		};
 		const otherBest = cheapest(isLong && ownBest ? weighed.filter(isBearable) : weighed);
 		if (!ownBest || !otherBest) {
@@ -185,14 +187,14 @@
 
 	/** A few at random, all that keep much of what is shared, and those where such prompts meet. */
 	private weighed(
-		weighing: Weighing,
+		weighing: ScoringContext,
 		engines: readonly Engine[],
 		homes: readonly Engine[],
 	): Candidate[] {
-		const { kept, sharedTokens } = weighing;
+		const { cachedPrefixes: kept, sharedTokens } = weighing;
 		const much = sharedTokens * muchKept;
 		const keeps = (engine: Engine) => {
-			const { cached } = kept.by.get(engine.ref) ?? nothingKept;
+			const { cached } = kept.byEngine.get(engine.ref) ?? nothingKept;
 			return (much > 0 && cached >= much) || homes.includes(engine);
 		};
 		const sample = sampleEngines(engines, keeps, this.random);
@@ -209,48 +211,53 @@
 		return isLong ? this.fleet.demand().long / longCapacity : 0;
 	}
 
-	private keptOf(req: PlacementRequest, open: readonly Engine[]): Kept {
-		const by = this.fleet.cachedTokensByEngine(req.parts.slice(0, -1));
+	private keptOf(req: PlacementRequest, open: readonly Engine[]): CachedPrefixes {
+		const by = this.fleet.cachedTokensByEngine(req.segments.slice(0, -1));
 		const copyableOf = (engine: Engine) => (by.get(engine.ref) ?? nothingKept).copyable;
 		const copyable = Math.max(...open.map(copyableOf));
 		// Any of them, since copies from one engine wait for each other.
 		const sources = open.filter((engine) => copyableOf(engine) === copyable);
 		const copyFrom = sources[Math.floor(this.random.next() * sources.length)];
-		return { by, copyable, copyFrom };
+		return { byEngine: by, copyableTokens: copyable, copyFrom };
 	}
 
 	/** @param homeRank place among the engines where its shared parts meet; negative for others */
-	private weigh(weighing: Weighing, engine: Engine, homeRank: number): Candidate {
-		const { req, kept, sharedTokens, key, now } = weighing;
-		const costs = this.costs.at(req.service, engine.ref, now);
-		const work = this.fleet.workAt(engine.key);
-		const { cached } = kept.by.get(engine.ref) ?? nothingKept;
-		const missing = kept.copyable - cached;
+	private weigh(weighing: ScoringContext, engine: Engine, homeRank: number): Candidate {
+		const { req, cachedPrefixes: kept, sharedTokens, affinityKey: key, now } = weighing;
+		const costs = this.costs.ofEngine(req.service, engine.ref, now);
+		const work = this.fleet.workAt(engine.incarnationKey);
+		const { cached } = kept.byEngine.get(engine.ref) ?? nothingKept;
+		const missing = kept.copyableTokens - cached;
 		const copied = missing >= leastCopiedTokens ? missing : 0;
 		const uncached = Math.max(0, req.promptTokens - cached - copied);
-		const { heldMs } = costs;
-		const { slots } = engine.entry;
-		const slotMs = slotWaitMs({ ...work, slots, heldMs, newsAgeMs: this.fleet.maxGossipAgeMs });
+		const { slotOccupancyMs: heldMs } = costs;
+		const { slots } = engine.registration;
+		const slotMs = slotWaitMs({
+			...work,
+			slots,
+			slotOccupancyMs: heldMs,
+			gossipAgeMs: this.fleet.maxGossipAgeMs,
+		});
 		const queueMs = work.promptTokens * costs.readMsPerToken + slotMs;
 		const ownMs = readingMs(costs, uncached) + copyingMs(costs, copied);
-		const waitMs = costs.firstMs + queueMs + ownMs;
+		const waitMs = costs.firstEventOverheadMs + queueMs + ownMs;
 		const unread = sharedTokens - cached - copied;
 		const reread = (unread * rereadWeight + copied * copyWeight) * costs.readMsPerToken;
-		const met = homeRank < 0 ? 0 : weighing.meetingMs / (homeRank + 1);
-		const pauses = pauseRiskMs(costs, req.targetPauseMs, req.targetMs);
+		const met = homeRank < 0 ? 0 : weighing.affinityBonusMs / (homeRank + 1);
+		const pauses = pausePenaltyMs(costs, req.targetPauseMs, req.targetMs);
 		const cost = waitMs + work.running * runningMs + reread + pauses - met;
 		return {
 			engine,
 			work,
 			costs,
 			queueMs,
-			ownMs,
+			ownReadingMs: ownMs,
 			waitMs,
-			cost: Math.round(cost / this.costStepMs),
-			uncached,
-			cached,
-			copied,
-			score: this.scoreOf(engine, sharedTokens, key),
+			costSteps: Math.round(cost / this.costStepMs),
+			uncachedTokens: uncached,
+			cachedTokens: cached,
+			copiedTokens: copied,
+			tieBreakScore: this.scoreOf(engine, sharedTokens, key),
 		};
 	}
 
@@ -262,7 +269,7 @@
 		if (sharedTokens > meetingTokens) {
 			return rendezvous.scoreOf(key, engine.id);
 		}
-		const isConnected = this.hasFree(engine.entry.address);
+		const isConnected = this.hasFree(engine.registration.address);
 		return this.random.next() + (isConnected ? connectedScore : 0);
 	}
 
@@ -270,15 +277,15 @@
 		return Math.max(leastCostStepMs, this.fleet.maxGossipAgeMs * costStepOfNewsAge);
 	}
 
-	private divisionOf(service: string, engines: readonly Engine[], now: number): Division {
+	private divisionOf(service: string, engines: readonly Engine[], now: number): PromptPools {
 		let division = this.divisions.get(service);
 		if (!division) {
-			division = new EngineDivision();
+			division = new EnginePartition();
 			this.divisions.set(service, division);
 		}
-		const { speeds } = this.costs;
+		const { paces: speeds } = this.costs;
 		const capacityOf = ({ ref }: Engine) => 1 / speeds.steadyPace(service, ref, now).reading;
-		return division.divide(engines, this.fleet.demand(), capacityOf);
+		return division.partition(engines, this.fleet.demand(), capacityOf);
 	}
 }
 
@@ -286,11 +293,11 @@
  * Where a prompt meets others that share parts with it. Few engines are all weighed, and what each keeps is heard in time; and
  * what is known to be kept is found where that is.
  */
-function homesFor(weighing: Weighing, engines: readonly Engine[]): readonly Engine[] {
-	const { kept, sharedTokens, key } = weighing;
+function homesFor(weighing: ScoringContext, engines: readonly Engine[]): readonly Engine[] {
+	const { cachedPrefixes: kept, sharedTokens, affinityKey: key } = weighing;
 	const mayMiss = engines.length > sampleSize && sharedTokens > meetingTokens;
-	const isKnown = kept.copyable >= sharedTokens * muchKept;
-	return mayMiss && !isKnown ? homesOf(key, engines) : [];
+	const isKnown = kept.copyableTokens >= sharedTokens * muchKept;
+	return mayMiss && !isKnown ? affinityEnginesOf(key, engines) : [];
 }
 
 /**
@@ -305,8 +312,12 @@
 function cheapest(candidates: readonly Candidate[]): Candidate | undefined {
 	let best: Candidate | undefined;
 	for (const candidate of candidates) {
-		const equal = best !== undefined && candidate.cost === best.cost;
-		if (!best || candidate.cost < best.cost || (equal && candidate.score > best.score)) {
+		const equal = best !== undefined && candidate.costSteps === best.costSteps;
+		if (
+			!best ||
+			candidate.costSteps < best.costSteps ||
+			(equal && candidate.tieBreakScore > best.tieBreakScore)
+		) {
 			best = candidate;
 		}
 	}
--- a/src/core/engines/recent-answers.ts
+++ b/src/core/engines/recent-answers.ts
@@ -9,7 +9,7 @@
 const spanMs = 1000;
 
 /** Answers of one engine to one VM, or to several. */
-export interface EngineAnswers {
+export interface EngineAnswerCounts {
 	engine: EngineRef;
 	failed: number;
 	served: number;
@@ -17,17 +17,23 @@
 	failingVms: number;
 }
 
-export function noAnswers(engine: EngineRef): EngineAnswers {
+export function emptyAnswerCounts(engine: EngineRef): EngineAnswerCounts {
 	return { engine, failed: 0, served: 0, failingVms: 0 };
 }
 
-export function addAnswers(to: EngineAnswers, other: EngineAnswers | undefined): void {
+export function addAnswerCounts(
+	to: EngineAnswerCounts,
+	other: EngineAnswerCounts | undefined,
+): void {
 	to.failed += other?.failed ?? 0;
 	to.served += other?.served ?? 0;
 	to.failingVms += other?.failingVms ?? 0;
 }
 
-export function isEqual(one: EngineAnswers, other: EngineAnswers | undefined): boolean {
+export function areCountsEqual(
+	one: EngineAnswerCounts,
+	other: EngineAnswerCounts | undefined,
+): boolean {
 	return (
 		one.failed === other?.failed &&
 		one.served === other.served &&
@@ -49,15 +55,15 @@
 		this.startedAt = clock.monotonic();
 	}
 
-	failed(ref: EngineRef): void {
+	recordFailure(ref: EngineRef): void {
 		this.countsOf(ref).failed++;
 	}
 
-	served(ref: EngineRef): void {
+	recordSuccess(ref: EngineRef): void {
 		this.countsOf(ref).served++;
 	}
 
-	of(ref: EngineRef): EngineAnswers {
+	of(ref: EngineRef): EngineAnswerCounts {
 		this.sweep();
 		const spans = [this.current.get(ref), this.previous.get(ref)];
 		const failed = spans.reduce((sum, span) => sum + (span?.failed ?? 0), 0);
@@ -66,7 +72,7 @@
 	}
 
 	/** Engines that failed a request. */
-	failing(): EngineRef[] {
+	failingEngines(): EngineRef[] {
 		this.sweep();
 		const all = [...this.current, ...this.previous];
 		return all.filter(([, { failed }]) => failed > 0).map(([ref]) => ref);
--- a/src/core/engines/slot-wait.ts
+++ b/src/core/engines/slot-wait.ts
@@ -7,23 +7,28 @@
 /** Spread of a normal distribution over the width of the soft step that stands for it. */
 const softness = 0.6;
 
-export interface SlotUse {
+export interface SlotUsage {
 	/** Requests at the engine as far as is known, and those that it works on at once. */
 	running: number;
 	slots: number;
 	/** For how long a request holds its slot there, in milliseconds. */
-	heldMs: number;
+	slotOccupancyMs: number;
 	/** Age of what is known, in milliseconds. */
-	newsAgeMs: number;
+	gossipAgeMs: number;
 }
 
 /** Milliseconds to expect. */
-export function slotWaitMs(use: SlotUse): number {
-	return (requestsBefore(use) * use.heldMs) / use.slots;
+export function slotWaitMs(use: SlotUsage): number {
+	return (requestsBefore(use) * use.slotOccupancyMs) / use.slots;
 }
 
 /** Requests without a slot to expect, with the new one; some begin and as many end at random in the age of the news. */
-function requestsBefore({ running, slots, heldMs, newsAgeMs }: SlotUse): number {
+function requestsBefore({
+	running,
+	slots,
+	slotOccupancyMs: heldMs,
+	gossipAgeMs: newsAgeMs,
+}: SlotUsage): number {
 	const excess = running + 1 - slots;
 	const changes = (Math.max(0, running) * newsAgeMs) / heldMs;
 	const width = softness * Math.sqrt(2 * changes);
--- a/src/core/engines/types.ts
+++ b/src/core/engines/types.ts
@@ -4,7 +4,7 @@
  */
 
 /** One start of an endpoint's process; a later one may have the same id. */
-export interface EngineEntry {
+export interface EngineRegistration {
 	id: string;
 	/** When this start was, in Unix milliseconds of the endpoint's own clock; undefined where it does not tell. */
 	bornAt?: number;
--- a/src/core/engines/calm-pauses.ts
+++ b/src/core/engines/undisturbed-pause-filter.ts
@@ -6,7 +6,7 @@
 /** The shortest of so many pauses in a row counts: a long prompt that is read beside lengthens one or two. */
 const inRow = 3;
 
-export class CalmPauses {
+export class UndisturbedPauseFilter {
 	private count = 0;
 	private shortestMs = Number.POSITIVE_INFINITY;
 
@@ -14,7 +14,7 @@
 	 * @param isBesidePrompts prompts wait at the engine, as far as is known
 	 * @returns a pause in milliseconds that shows the engine's pace; undefined for most
 	 */
-	next(ms: number, isBesidePrompts: boolean): number | undefined {
+	add(ms: number, isBesidePrompts: boolean): number | undefined {
 		if (isBesidePrompts) {
 			this.clear();
 			return undefined;
--- a/src/core/engines/work-estimate.ts
+++ b/src/core/engines/work-estimate.ts
@@ -6,32 +6,32 @@
 import type { Pace } from './engine-pace.js';
 
 /** What work costs on the engines of one service; see `cost-model` for where the figures come from. */
-export interface CostFigures {
+export interface CostEstimates {
 	/** Milliseconds to read one prompt token, with the steps of other requests between. */
 	readMsPerToken: number;
 	/** Milliseconds from sending a request to its first event beyond the reading. */
-	firstMs: number;
+	firstEventOverheadMs: number;
 	/** Milliseconds to copy one token that another engine has read. */
 	copyMsPerToken: number;
 	/** Milliseconds before a copy begins. */
 	copySetupMs: number;
 	/** Milliseconds between two events of a stream beside which no prompt is read. */
-	eventMs: number;
+	eventIntervalMs: number;
 	/** Milliseconds of a stream for each token that is expected of its answer. */
 	answerMsPerToken: number;
 	/** Milliseconds for which a request holds its slot, from the first event to the last, in the mean. */
-	heldMs: number;
+	slotOccupancyMs: number;
 }
 
 /** Figures of an engine that takes so many times as long as its service's figures say; copies are bound by networks. */
-export function paced(costs: CostFigures, { reading, steps }: Pace): CostFigures {
+export function scaleByPace(costs: CostEstimates, { reading, steps }: Pace): CostEstimates {
 	return {
 		...costs,
 		readMsPerToken: costs.readMsPerToken * reading,
-		firstMs: costs.firstMs * reading,
-		eventMs: costs.eventMs * steps,
+		firstEventOverheadMs: costs.firstEventOverheadMs * reading,
+		eventIntervalMs: costs.eventIntervalMs * steps,
 		answerMsPerToken: costs.answerMsPerToken * steps,
-		heldMs: costs.heldMs * steps,
+		slotOccupancyMs: costs.slotOccupancyMs * steps,
 	};
 }
 
@@ -53,12 +53,12 @@
 }
 
 /** How long reading the prompt keeps an engine busy, in milliseconds. */
-export function readingMs(costs: CostFigures, promptTokens: number): number {
+export function readingMs(costs: CostEstimates, promptTokens: number): number {
 	return effectiveTokens(promptTokens) * costs.readMsPerToken;
 }
 
 /** How long an engine takes to copy read tokens from another, in milliseconds. */
-export function copyingMs(costs: CostFigures, tokens: number): number {
+export function copyingMs(costs: CostEstimates, tokens: number): number {
 	return tokens === 0 ? 0 : costs.copySetupMs + tokens * costs.copyMsPerToken;
 }
 
@@ -66,16 +66,16 @@
  * How long a long prompt keeps a whole engine busy, in milliseconds: by reading, or by its slot where those are few.
  * While an engine reads, its steps make tokens beside; the cost of reading has those steps in it.
  */
-export function longWorkMs(costs: CostFigures, size: RequestSize, slots: number): number {
+export function longPromptWorkMs(costs: CostEstimates, size: RequestSize, slots: number): number {
 	const reading = readingMs(costs, size.promptTokens);
 	return Math.max(reading, (reading + answeringMs(costs, size)) / slots);
 }
 
 /** How long a short one does: where little is read, an answer takes its share of steps that are made for it. */
-export function shortWorkMs(costs: CostFigures, size: RequestSize, slots: number): number {
+export function shortPromptWorkMs(costs: CostEstimates, size: RequestSize, slots: number): number {
 	return readingMs(costs, size.promptTokens) + answeringMs(costs, size) / slots;
 }
 
-function answeringMs(costs: CostFigures, size: RequestSize): number {
+function answeringMs(costs: CostEstimates, size: RequestSize): number {
 	return size.answerTokens * costs.answerMsPerToken;
 }
--- a/src/core/fleet/fleet-view.ts
+++ b/src/core/fleet/fleet-view.ts
@@ -6,7 +6,7 @@
  */
 import type { Clock, Log } from '../definitions.js';
 import type { CostModel } from '../engines/cost-model.js';
-import type { AnswerNews } from '../engines/fleet-health.js';
+import type { AnswerGossip } from '../engines/fleet-health.js';
 import type { LimitGossip } from '../limits/fleet-limits.js';
 import type { CrashGossip } from '../quarantine/types.js';
 import type { PromptSegment } from '../relay/definitions.js';
@@ -49,7 +49,7 @@
 	/** Cost estimates, merged with those of peers. */
 	costs: CostModel;
 	/** Answers of failing engines, to this VM and to peers. */
-	answers: AnswerNews;
+	answers: AnswerGossip;
 	/** State of the store as this VM sees it; undefined while it does not read the store. */
 	storeStatus: () => StoreStatus | undefined;
 	/** Called with the state of the store that a peer gossips. */
@@ -192,7 +192,7 @@
 		const ref = refOf(engineKey);
 		this.prefixCache.removeEngine(ref);
 		this.work.removeEngine(ref);
-		this.opts.costs.speeds.forgetEngine(ref);
+		this.opts.costs.paces.removeEngine(ref);
 		for (const source of this.sources.all()) {
 			source.work.delete(ref);
 		}
@@ -285,7 +285,7 @@
 	sweep(): void {
 		for (const source of this.sources.silent()) {
 			this.drop(source);
-			this.opts.costs.speeds.forget(source.name, this.now);
+			this.opts.costs.paces.removePeer(source.name, this.now);
 			this.opts.log.info('peer.lost', { peer: source.name, peers: this.size });
 		}
 	}
@@ -326,13 +326,13 @@
 	 */
 	private mergeEstimates({ from, kind, costs, speeds, answers }: GossipMessage): boolean {
 		if (costs) {
-			this.opts.costs.take(from, costs);
+			this.opts.costs.merge(from, costs);
 		}
 		if (speeds) {
-			this.opts.costs.speeds.take(from, speeds, this.now);
+			this.opts.costs.paces.merge(from, speeds, this.now);
 		}
 		const isTotal = kind === gossipKinds.fleet;
-		return answers !== undefined && this.opts.answers.take(from, answers, isTotal);
+		return answers !== undefined && this.opts.answers.merge(from, answers, isTotal);
 	}
 
 	private isRelevant(message: GossipMessage): boolean {
@@ -411,7 +411,7 @@
 	private drop(source: GossipSource): void {
 		this.work.removeSource(source);
 		this.sources.remove(source);
-		this.opts.costs.forget(source.name);
-		this.opts.answers.forget(source.name);
+		this.opts.costs.removePeer(source.name);
+		this.opts.answers.removePeer(source.name);
 	}
 }
--- a/src/core/fleet/gossip-composer.ts
+++ b/src/core/fleet/gossip-composer.ts
@@ -4,8 +4,8 @@
  */
 import type { Clock } from '../definitions.js';
 import type { CostModel } from '../engines/cost-model.js';
-import type { SpeedSums } from '../engines/engine-speeds.js';
-import type { AnswerNews } from '../engines/fleet-health.js';
+import type { ServicePaceSums } from '../engines/engine-paces.js';
+import type { AnswerGossip } from '../engines/fleet-health.js';
 import type { IssuerAnnouncement, LimitUpdate } from '../limits/types.js';
 import type { CrashReport } from '../quarantine/types.js';
 import { splitIntoDatagrams } from './gossip-splitter.js';
@@ -58,7 +58,7 @@
 	clock: Clock;
 	costs: CostModel;
 	/** Answers of failing engines. */
-	answers: AnswerNews;
+	answers: AnswerGossip;
 }
 
 export class GossipComposer {
@@ -82,7 +82,7 @@
 			? this.opts.costs.export(includedVms)
 			: undefined;
 		const speeds = this.isDue(this.speedsSentAt, kind, speedsIntervalMs)
-			? this.opts.costs.speeds.export(includedVms, this.now, maxSpeeds)
+			? this.opts.costs.paces.export(includedVms, this.now, maxSpeeds)
 			: undefined;
 		const rowCounts = {
 			crashes: crashes.length,
@@ -123,6 +123,6 @@
 	}
 }
 
-function countSpeedRows(speeds: readonly SpeedSums[] = []): number {
+function countSpeedRows(speeds: readonly ServicePaceSums[] = []): number {
 	return speeds.reduce((rows, { engines }) => rows + engines.length, 0);
 }
--- a/src/core/fleet/types.ts
+++ b/src/core/fleet/types.ts
@@ -4,8 +4,8 @@
  */
 
 import type { CostSums } from '../engines/cost-model.js';
-import type { SpeedSums } from '../engines/engine-speeds.js';
-import type { EngineAnswers } from '../engines/recent-answers.js';
+import type { ServicePaceSums } from '../engines/engine-paces.js';
+import type { EngineAnswerCounts } from '../engines/recent-answers.js';
 import type { IssuerAnnouncement, LimitUpdate } from '../limits/types.js';
 import type { CrashReport } from '../quarantine/types.js';
 
@@ -108,9 +108,9 @@
 	/** Cost estimates; not in every message. */
 	costs?: CostSums[];
 	/** Recent answers of engines that fail requests; complete, in one datagram of a round. */
-	answers?: EngineAnswers[];
+	answers?: EngineAnswerCounts[];
 	/** Recent speeds of single engines; not in every message. */
-	speeds?: SpeedSums[];
+	speeds?: ServicePaceSums[];
 	/** VMs that recently had an answer from the store. */
 	storeReaders: StoreReader[];
 	/** Reports that the sums include. */
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -112,7 +112,7 @@
 		this.ledger.recordEngineCrash(engine);
 	}
 
-	private async probe({ ref, entry }: Engine): Promise<void> {
+	private async probe({ ref, registration: entry }: Engine): Promise<void> {
 		const isClosed = await this.opts.isPortClosed(entry.address);
 		this.probed.delete(ref);
 		if (isClosed) {
--- a/src/core/quarantine/request-quarantine.ts
+++ b/src/core/quarantine/request-quarantine.ts
@@ -34,7 +34,7 @@
 	recordFailure(attempt: Attempt): void {
 		const { sinceFirstEventMs: runningMs, engine } = attempt;
 		const isShort = runningMs === undefined || runningMs < harmlessMs;
-		if (isShort && !engine.isLeaving) {
+		if (isShort && !engine.isDraining) {
 			this.quarantine.recordFailure(this.content, attempt.engine);
 		}
 	}
--- a/src/core/relay/apply-engine-notice.ts
+++ b/src/core/relay/apply-engine-notice.ts
@@ -22,8 +22,8 @@
 	const { engine } = attempt;
 	const { notice, status } = head;
 	applyLimit(ctx, attempt, head, requestId);
-	if (engine.notices.heard(notice, ctx.clock.sinceBoot())) {
-		const { leaving, restS, limitPerS } = notice;
+	if (engine.notices.apply(notice, ctx.clock.sinceBoot())) {
+		const { isDraining: leaving, backOffS: restS, limitPerS } = notice;
 		outcome.log('engine.notice', {
 			engine: engine.id,
 			status,
--- a/src/core/relay/attempt-results.ts
+++ b/src/core/relay/attempt-results.ts
@@ -17,24 +17,24 @@
 
 	/** The engine received the request and did not answer it properly. */
 	recordFailure({ engine }: Attempt, reason: string): void {
-		this.ctx.fleetHealth.failed(engine);
-		if (engine.health.failed(this.ctx.clock.monotonic())) {
+		this.ctx.fleetHealth.recordFailure(engine);
+		if (engine.health.recordFailure(this.ctx.clock.monotonic())) {
 			this.recordCircuitOpened(engine.id, reason);
 		}
 	}
 
 	/** Nothing of the request reached the engine. */
 	recordUnreachable({ engine }: Attempt, reason: string): void {
-		this.ctx.fleetHealth.failed(engine);
-		if (engine.health.unreachable(this.ctx.clock.monotonic())) {
+		this.ctx.fleetHealth.recordFailure(engine);
+		if (engine.health.recordUnreachable(this.ctx.clock.monotonic())) {
 			this.recordCircuitOpened(engine.id, reason);
 		}
 	}
 
 	/** The engine answered completely. */
 	recordSuccess({ engine }: Attempt): void {
-		engine.health.succeeded();
-		this.ctx.fleetHealth.served(engine);
+		engine.health.recordSuccess();
+		this.ctx.fleetHealth.recordSuccess(engine);
 	}
 
 	/** Nothing listens at the engine's address, or another engine does. */
--- a/src/core/relay/attempt.ts
+++ b/src/core/relay/attempt.ts
@@ -2,9 +2,10 @@
  * One attempt to run a request on one engine: tracks its answer and its share of the engine's work as shared with the fleet.
  * @module
  */
-import { CalmPauses } from '../engines/calm-pauses.js';
+
 import type { Engine } from '../engines/engine.js';
 import type { Placement } from '../engines/placement-types.js';
+import { UndisturbedPauseFilter } from '../engines/undisturbed-pause-filter.js';
 import type { WorkChange } from '../fleet/work-sums.js';
 import type { AnswerHead, PromptSegment, RunningCall } from './definitions.js';
 import { EventSplitter } from './event-splitter.js';
@@ -24,7 +25,7 @@
 	private firstEventAt?: number;
 	private lastEventAt = 0;
 	private events = 0;
-	private readonly calmPauses = new CalmPauses();
+	private readonly calmPauses = new UndisturbedPauseFilter();
 	private isPromptRead = false;
 	/** Prompt segments that other requests may share. */
 	private sharedSegments: readonly PromptSegment[] = [];
@@ -71,10 +72,10 @@
 		const { promptTokens, readingMs } = this.placement;
 		this.wasSent = true;
 		this.sentTime = this.ctx.clock.monotonic();
-		this.engine.health.sent(this.sentTime, readingMs);
+		this.engine.health.recordSent(this.sentTime, readingMs);
 		this.changeWork({ running: 1, promptTokens });
 		this.sharedSegments = sharedSegments;
-		this.ctx.fleet.recordPrefill(sharedSegments, this.engine.key, false);
+		this.ctx.fleet.recordPrefill(sharedSegments, this.engine.incarnationKey, false);
 		this.ctx.onWorkChanged();
 	}
 
@@ -96,7 +97,7 @@
 	}
 
 	recordActivity(): void {
-		this.engine.health.heard(this.ctx.clock.monotonic());
+		this.engine.health.recordActivity(this.ctx.clock.monotonic());
 	}
 
 	/** The prompt was read: the first event arrived, or no further one will. */
@@ -121,7 +122,7 @@
 			this.countStartedNow();
 			this.firstEventAt = now;
 			this.recordFirstEvent(now - this.sentTime);
-			this.ctx.fleet.recordPrefill(this.sharedSegments, this.engine.key, true);
+			this.ctx.fleet.recordPrefill(this.sharedSegments, this.engine.incarnationKey, true);
 			this.ctx.onWorkChanged();
 		} else if (!isPaused) {
 			this.recordPause(now);
@@ -133,39 +134,46 @@
 	recordStreamEnd(expectedTokens: number): void {
 		if (this.firstEventAt !== undefined) {
 			const heldMs = this.lastEventAt - this.firstEventAt;
-			this.ctx.costs.answerSeen(this.service, { events: this.events, expectedTokens, heldMs });
+			this.ctx.costs.recordAnswer(this.service, {
+				events: this.events,
+				expectedTokens,
+				slotOccupancyMs: heldMs,
+			});
 		}
 	}
 
 	/** Skips engines that are gone: their work was already removed, and removing it again would distort the announced sums. */
 	private changeWork(change: WorkChange): void {
-		if (!this.engine.isGone) {
-			this.ctx.fleet.changeWork(this.engine.key, change);
+		if (!this.engine.isRemoved) {
+			this.ctx.fleet.changeWork(this.engine.incarnationKey, change);
 		}
 	}
 
 	private recordFirstEvent(delayMs: number): void {
 		const { promptTokens, copiedTokens, work } = this.placement;
 		const { engine } = this;
-		this.ctx.costs.firstEvent(this.service, {
+		this.ctx.costs.recordFirstEvent(this.service, {
 			promptTokens,
 			aheadTokens: work.promptTokens,
 			copiedTokens,
 			delayMs,
 			engine: engine.ref,
 			at: this.ctx.clock.monotonic(),
-			isQueued: work.running >= engine.entry.slots,
+			isQueued: work.running >= engine.registration.slots,
 		});
 	}
 
 	private recordPause(now: number): void {
 		const { engine, ctx } = this;
 		const ms = now - this.lastEventAt;
-		ctx.costs.pauseSeen(this.service, {
+		ctx.costs.recordPause(this.service, {
 			ms,
 			engine: engine.ref,
 			at: now,
-			calmMs: this.calmPauses.next(ms, ctx.fleet.workAt(engine.key).promptTokens > 0),
+			undisturbedMs: this.calmPauses.add(
+				ms,
+				ctx.fleet.workAt(engine.incarnationKey).promptTokens > 0,
+			),
 		});
 	}
 
@@ -183,6 +191,6 @@
 		this.markPromptRead();
 		const { readingMs } = this.placement;
 		this.changeWork({ running: -1 });
-		this.engine.health.ended(readingMs);
+		this.engine.health.recordEnd(readingMs);
 	}
 }
--- a/src/core/relay/relayed-request.ts
+++ b/src/core/relay/relayed-request.ts
@@ -139,14 +139,14 @@
 		this.attempt = attempt;
 		attempt.call = this.ctx.transport.send(
 			{
-				address: engine.entry.address,
+				address: engine.registration.address,
 				engineId: engine.id,
 				req,
 				customer: customer?.name,
 				deadlineMs: this.leftMs,
 				urgency: this.routed.urgency,
 				lastEventId,
-				copyFrom: placement.copyFrom?.entry.address,
+				copyFrom: placement.copyFrom?.registration.address,
 			},
 			this.listen(attempt),
 		);
@@ -266,7 +266,7 @@
 			this.results.recordEngineExit(attempt);
 			this.results.recordUnreachable(attempt, 'another engine listens at its address');
 		} else {
-			attempt.engine.health.rejected(this.ctx.clock.monotonic());
+			attempt.engine.health.recordRejection(this.ctx.clock.monotonic());
 		}
 		if (this.retry(attempt, `rejected with ${head.status}`)) {
 			return;
--- a/src/core/relay/request-placement.ts
+++ b/src/core/relay/request-placement.ts
@@ -44,18 +44,18 @@
 	placeNext(): void {
 		const { ctx, routed, onPlaced, onRefused } = this.opts;
 		const { req, service } = routed;
-		const engines = this.admittedEngines(ctx.engines.offered(service));
+		const engines = this.admittedEngines(ctx.engines.eligible(service));
 		const placement = ctx.placement.choose(
 			{
 				service,
-				parts: req.promptSegments,
+				segments: req.promptSegments,
 				promptTokens: req.promptTokens,
 				answerTokens: req.answerTokens,
 				targetMs: routed.route.targetMs,
 				tightestPauseMs: routed.minTargetPauseMs,
 				targetPauseMs: routed.route.targetPauseMs,
 				model: routed.model,
-				leastUrgent: routed.isLeastUrgent,
+				isLeastUrgentTier: routed.isLeastUrgent,
 				tried: this.tried,
 				admits: (engine) => this.admits(engine, engines),
 				isLimited: (engine) => this.isLimited(engine),
@@ -75,7 +75,7 @@
 
 	/** Engines that fleet health admits; all offered ones if each of those was tried. */
 	private admittedEngines(offered: readonly Engine[]): readonly Engine[] {
-		const admitted = this.opts.ctx.fleetHealth.admitted(offered);
+		const admitted = this.opts.ctx.fleetHealth.filterAvailable(offered);
 		return admitted.some(({ id }) => !this.tried.has(id)) ? admitted : offered;
 	}
 
@@ -105,7 +105,7 @@
 	}
 
 	private backOffLeftMs({ notices }: Engine): number {
-		return notices.restLeftMs(this.opts.ctx.clock.sinceBoot());
+		return notices.backOffLeftMs(this.opts.ctx.clock.sinceBoot());
 	}
 
 	/**
@@ -113,7 +113,7 @@
 	 * caller, as another engine or VM may accept the request at once.
 	 */
 	get backOffLeftS(): number | undefined {
-		const leftMs = this.opts.ctx.engines.restLeftMs(this.opts.routed.service);
+		const leftMs = this.opts.ctx.engines.backOffLeftMs(this.opts.routed.service);
 		return leftMs === 0 ? undefined : Math.ceil(leftMs / 100) / 10;
 	}
 
--- a/src/core/relay/types.ts
+++ b/src/core/relay/types.ts
@@ -34,7 +34,7 @@
 	retryBudget: RetryBudget;
 	quarantine: Quarantine;
 	/** Detects engines that fail the requests of several VMs. */
-	fleetHealth: Pick<FleetHealth, 'admitted' | 'failed' | 'served'>;
+	fleetHealth: Pick<FleetHealth, 'filterAvailable' | 'recordFailure' | 'recordSuccess'>;
 	fleet: FleetView;
 	limits: RequestLimits;
 	costs: CostModel;
--- a/src/daemon/relay/cost-report.ts
+++ b/src/daemon/relay/cost-report.ts
@@ -20,7 +20,7 @@
 		private readonly log: Log,
 		private readonly costs: CostModel,
 		private readonly services: () => readonly string[],
-		private readonly engines: Pick<EngineDirectory, 'ofRef'>,
+		private readonly engines: Pick<EngineDirectory, 'findByRef'>,
 		private readonly clock: Clock,
 	) {}
 
@@ -32,12 +32,12 @@
 			this.log.info('costs.learned', {
 				service,
 				read_tokens_per_ms: rounded(1 / figures.readMsPerToken),
-				first_ms: rounded(figures.firstMs),
+				first_ms: rounded(figures.firstEventOverheadMs),
 				copy_tokens_per_ms: rounded(1 / figures.copyMsPerToken),
 				copy_setup_ms: rounded(figures.copySetupMs),
-				event_ms: rounded(figures.eventMs),
+				event_ms: rounded(figures.eventIntervalMs),
 				answer_ms_per_token: rounded(figures.answerMsPerToken),
-				held_ms: Math.round(figures.heldMs),
+				held_ms: Math.round(figures.slotOccupancyMs),
 				observations,
 				peers,
 				...this.speedsOf(service),
@@ -47,19 +47,19 @@
 
 	/** How engines differ from their service's figures, the slowest by id. */
 	private speedsOf(service: string): Record<string, string | number> {
-		const speeds = this.costs.speeds.speeds(service, this.clock.monotonic());
+		const speeds = this.costs.paces.list(service, this.clock.monotonic());
 		const slowest = [...speeds].sort((a, b) => b.steps - a.steps).slice(0, mostNamed);
 		const named = slowest.map(({ engine, reading, steps }) => {
-			const id = this.engines.ofRef(engine)?.id ?? engine;
+			const id = this.engines.findByRef(engine)?.id ?? engine;
 			return `${id}:${rounded(reading)}/${rounded(steps)}`;
 		});
-		const turned = speeds.filter(({ isTurned }) => isTurned).length;
+		const turned = speeds.filter(({ isDeviating: isTurned }) => isTurned).length;
 		return { paced: speeds.length, turned, slowest: named.join(',') };
 	}
 
 	samples(): CostSample[] {
 		return this.services().map((service) => {
-			const speeds = this.costs.speeds.speeds(service, this.clock.monotonic());
+			const speeds = this.costs.paces.list(service, this.clock.monotonic());
 			const slowestPace = Math.max(1, ...speeds.map(({ steps }) => steps));
 			return { service, figures: this.costs.of(service), slowestPace };
 		});
--- a/src/daemon/relay/fleet-duties.ts
+++ b/src/daemon/relay/fleet-duties.ts
@@ -228,14 +228,19 @@
 	}
 
 	private enginesOf(service: string) {
-		const ofService = [...this.opts.engines.all()].filter(({ entry }) => entry.service === service);
+		const ofService = [...this.opts.engines.all()].filter(
+			({ registration: entry }) => entry.service === service,
+		);
 		// One that says in its answers that it leaves is replaced before the store tells of it.
-		return ofService.map(({ entry, isLeaving }) => ({ ...entry, draining: isLeaving }));
+		return ofService.map(({ registration: entry, isDraining: isLeaving }) => ({
+			...entry,
+			draining: isLeaving,
+		}));
 	}
 
 	private limitedEngines(service: string): number {
 		const { engines, limits } = this.opts;
-		const limited = [...engines.all()].filter(({ entry, ref }) => {
+		const limited = [...engines.all()].filter(({ registration: entry, ref }) => {
 			return entry.service === service && limits.getLimitPerS(ref) !== undefined;
 		});
 		return limited.length;
@@ -248,10 +253,10 @@
 		let running = 0;
 		let ofService = 0;
 		for (const engine of engines.all()) {
-			if (this.hasModel(engine.entry.service)) {
-				const work = Math.max(0, fleet.workAt(engine.key).running);
+			if (this.hasModel(engine.registration.service)) {
+				const work = Math.max(0, fleet.workAt(engine.incarnationKey).running);
 				running += work;
-				ofService += engine.entry.service === service ? work : 0;
+				ofService += engine.registration.service === service ? work : 0;
 			}
 		}
 		return running === 0 ? 0 : ((long + short) * ofService) / running;
--- a/src/daemon/relay/fleet-links.ts
+++ b/src/daemon/relay/fleet-links.ts
@@ -60,7 +60,7 @@
 			random,
 			self,
 			listed: () => this.registry.others(),
-			engineId: (ref) => engines.ofRef(ref)?.id,
+			engineId: (ref) => engines.findByRef(ref)?.id,
 			heardVms: () => this.fleet.size,
 			vms: () => this.knownVms,
 			sendAsk: (to, ask) => this.peers.sendPermitAsk(to, ask),
@@ -73,9 +73,9 @@
 			clock,
 			log,
 			random,
-			heardVms: () => this.fleet.size,
-			onNews: () => this.peers.changed(),
-			engineId: (ref) => engines.ofRef(ref)?.id,
+			countLiveVms: () => this.fleet.size,
+			onUpdate: () => this.peers.changed(),
+			engineId: (ref) => engines.findByRef(ref)?.id,
 		});
 		this.fleet = new FleetView({
 			self: name,
@@ -113,7 +113,7 @@
 			configuration: () => configuration().text,
 			offer: (text, source) => configuration().applyIfNewer(text, source),
 			engines: (since) => reading().enginesSince(since),
-			takeEngines: (text) => engines.takeCopy(text),
+			takeEngines: (text) => engines.applyCopy(text),
 			enginesRevision: () => engines.revision,
 			onUsage: (usage) => duties()?.receiveUsage(usage),
 			onUsageTaken: (taken) => duties()?.receiveTaken(taken),
@@ -138,7 +138,7 @@
 	sweep(): void {
 		this.fleet.sweep();
 		this.health.sweep();
-		this.limits.sweep((ref) => this.opts.engines.ofRef(ref) !== undefined);
+		this.limits.sweep((ref) => this.opts.engines.findByRef(ref) !== undefined);
 	}
 
 	/** This VM stops: others do what it did for them. */
--- a/src/daemon/relay/relay-daemon.ts
+++ b/src/daemon/relay/relay-daemon.ts
@@ -96,16 +96,16 @@
 			log,
 			decode: platform.decodeEngine,
 			idOf: platform.engineIdOf,
-			onAddressGone: (address) => transport.closeIdleConnections(address),
-			onGone: (engine) => {
-				this.links.fleet.removeEngine(engine.key);
+			onAddressUnused: (address) => transport.closeIdleConnections(address),
+			onRemoved: (engine) => {
+				this.links.fleet.removeEngine(engine.incarnationKey);
 				this.links.limits.permits.removeEngine(engine.ref);
-				if (!engine.isLeaving) {
+				if (!engine.isDraining) {
 					this.quarantine.recordEngineCrash(engine.ref);
 				}
 			},
 			onChanged: () => this.reading.changed(),
-			onRead: () => this.startHold.release(),
+			onLoaded: () => this.startHold.release(),
 		});
 		this.links = new FleetLinks({
 			settings: () => this.settings,
@@ -376,7 +376,7 @@
 
 	/** Requests can be placed. */
 	private get knowsEnough(): boolean {
-		const isConfigured = this.configuration.table !== undefined && this.engines.isKnown;
+		const isConfigured = this.configuration.table !== undefined && this.engines.hasLoaded;
 		return isConfigured && this.quarantineRecords.isReady;
 	}
 }
--- a/src/infra/relay/news-codec.ts
+++ b/src/infra/relay/news-codec.ts
@@ -4,10 +4,10 @@
  */
 import * as msgpack from '@msgpack/msgpack';
 import type { CostSums } from '../../core/engines/cost-model.js';
-import type { EngineSums, SpeedSums } from '../../core/engines/engine-speeds.js';
+import type { EnginePaceSums, ServicePaceSums } from '../../core/engines/engine-paces.js';
 import type { LineSums } from '../../core/engines/estimators.js';
 import type { PaceSum } from '../../core/engines/pace-sums.js';
-import type { EngineAnswers } from '../../core/engines/recent-answers.js';
+import type { EngineAnswerCounts } from '../../core/engines/recent-answers.js';
 import type {
 	EngineWork,
 	GossipKind,
@@ -148,7 +148,7 @@
 	return rows;
 }
 
-function packSpeed({ engine, reading, steps }: EngineSums): number[] {
+function packSpeed({ engine, reading, steps }: EnginePaceSums): number[] {
 	return [engine, ...packPace(reading), ...packPace(steps)];
 }
 
@@ -159,10 +159,10 @@
 	];
 }
 
-function readSpeeds(row: RowReader): SpeedSums {
+function readSpeeds(row: RowReader): ServicePaceSums {
 	const service = row.number();
 	const fields = row.numbers(speedFields);
-	const engines: EngineSums[] = [];
+	const engines: EnginePaceSums[] = [];
 	for (let at = 0; at < fields.length; at += speedFields) {
 		const reading = readPace(fields[at + 1], fields[at + 2]);
 		const steps = readPace(fields[at + 3], fields[at + 4]);
@@ -225,7 +225,7 @@
 		sums.service,
 		packLine(sums.reading),
 		packLine(sums.copying),
-		toThousandths(sums.eventMs),
+		toThousandths(sums.eventIntervalMs),
 		sums.eventWeight,
 		Math.round(sums.events),
 		Math.round(sums.expectedTokens),
@@ -237,18 +237,18 @@
 		service: row.number(),
 		reading: row.one(readLine),
 		copying: row.one(readLine),
-		eventMs: row.thousandths(),
+		eventIntervalMs: row.thousandths(),
 		eventWeight: row.number(),
 		events: row.number(),
 		expectedTokens: row.number(),
 	};
 }
 
-function packAnswers({ engine, failed, served, failingVms }: EngineAnswers): number[] {
+function packAnswers({ engine, failed, served, failingVms }: EngineAnswerCounts): number[] {
 	return [engine, failed, served, failingVms];
 }
 
-function readAnswers(row: RowReader): EngineAnswers {
+function readAnswers(row: RowReader): EngineAnswerCounts {
 	return {
 		engine: row.number(),
 		failed: row.number(),
--- a/src/infra/relay/prometheus-metrics.ts
+++ b/src/infra/relay/prometheus-metrics.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import * as prometheus from 'prom-client';
-import type { CostFigures } from '../../core/engines/work-estimate.js';
+import type { CostEstimates } from '../../core/engines/work-estimate.js';
 import type { RelayMetrics } from '../../core/relay/metrics.js';
 import type { RelayOutcome } from '../../core/relay/types.js';
 
@@ -43,7 +43,7 @@
 
 export interface CostSample {
 	service: string;
-	figures: CostFigures;
+	figures: CostEstimates;
 	/** How many times as long as usual the slowest engine takes. */
 	slowestPace: number;
 }
@@ -155,7 +155,7 @@
 			gauges,
 			'slategauge_event_pause_seconds',
 			'Undisturbed pause of a stream',
-			'eventMs',
+			'eventIntervalMs',
 		);
 		this.costGauge(
 			gauges,
@@ -230,7 +230,7 @@
 		gauges: RelayGauges,
 		name: string,
 		what: string,
-		figure: keyof CostFigures,
+		figure: keyof CostEstimates,
 	): void {
 		const help = `${what}, as estimated, by service`;
 		this.serviceGauge(gauges, name, help, ({ figures }) => figures[figure] / 1000);
--- a/src/platform/engines.ts
+++ b/src/platform/engines.ts
@@ -4,7 +4,7 @@
  */
 import './zod-setup.js';
 import * as zod from 'zod/mini';
-import type { EngineEntry } from '../core/engines/types.js';
+import type { EngineRegistration } from '../core/engines/types.js';
 import { keys } from './wire.js';
 
 /** Everything that an engine writes; an entry that lacks any of it, or has it in another form, is not an engine's. */
@@ -32,7 +32,7 @@
 /**
  * @throws Error when the value is no engine's registration
  */
-export function decodeEngine(key: string, text: string): EngineEntry {
+export function decodeEngine(key: string, text: string): EngineRegistration {
 	const raw = schema.parse(JSON.parse(text));
 	return {
 		id: engineIdOf(key),
--- a/src/platform/messages.ts
+++ b/src/platform/messages.ts
@@ -118,8 +118,8 @@
 		isFramed: map.has('content-length') || map.has('transfer-encoding'),
 		isEncoded: encoding !== undefined && encoding !== 'identity',
 		notice: {
-			leaving: map.get(headers.leaving) === '1',
-			restS: status === 503 ? positiveNumber(map.get(headers.retryAfter)) : undefined,
+			isDraining: map.get(headers.leaving) === '1',
+			backOffS: status === 503 ? positiveNumber(map.get(headers.retryAfter)) : undefined,
 			limitPerS: decodeLimit(map.get(headers.limit)),
 		},
 		headers: keepEndToEnd(read, connectionHeaders),
--- a/test/steps/burst-replay.ts
+++ b/test/steps/burst-replay.ts
@@ -162,7 +162,7 @@
 		for (const vm of this.fleet.vms) {
 			this.placements.set(vm, new EnginePlacement(random, vm.fleet, vm.costs, () => false));
 			if (opts.knowsAll) {
-				vm.costs.speeds.pace = (_, ref) => this.truePace(ref);
+				vm.costs.paces.pace = (_, ref) => this.truePace(ref);
 			}
 		}
 	}
@@ -216,13 +216,13 @@
 		const promptTokens = parts.reduce((sum, part) => sum + part.tokens, 0);
 		const req: PlacementRequest = {
 			service,
-			parts,
+			segments: parts,
 			promptTokens,
 			answerTokens: kind.answerTokens,
 			targetMs: kind.targetMs,
 			tightestPauseMs: workload.short.pauseMs,
 			targetPauseMs: kind.pauseMs,
-			leastUrgent: isLong,
+			isLeastUrgentTier: isLong,
 			tried: new Set(),
 			...unlimited,
 		};
@@ -273,7 +273,7 @@
 		this.placed.push({ at: this.fleet.clock.now - this.startAt, engine });
 		const { promptTokens } = placed;
 		const { id } = placed.engine;
-		const shared = req.parts.slice(0, -1);
+		const shared = req.segments.slice(0, -1);
 		vm.fleet.changeWork(id, { running: 1, promptTokens });
 		vm.fleet.recordPrefill(shared, id, false);
 		vm.exchange.markChanged();
@@ -286,7 +286,7 @@
 			answerTokens: req.answerTokens,
 			aheadTokens: placed.work.promptTokens,
 			engine: placed.engine.ref,
-			isQueued: placed.work.running >= placed.engine.entry.slots,
+			isQueued: placed.work.running >= placed.engine.registration.slots,
 			isBesidePrompts: () => vm.fleet.workAt(id).promptTokens > 0,
 			expectedTokens: req.answerTokens,
 			onFirst: (delayMs) => {
@@ -326,9 +326,9 @@
 		tally: BurstTally,
 	): number {
 		const source = this.engines.find(({ engine }) => engine === placed.copyFrom);
-		let unread = req.parts.at(-1)?.tokens ?? 0;
+		let unread = req.segments.at(-1)?.tokens ?? 0;
 		let copied = 0;
-		for (const part of req.parts.slice(0, -1)) {
+		for (const part of req.segments.slice(0, -1)) {
 			if (target.kept.has(part.id)) {
 				continue;
 			}
--- a/test/steps/engine-costs.steps.ts
+++ b/test/steps/engine-costs.steps.ts
@@ -88,7 +88,7 @@
 	'a pause between events is estimated within {int} % of {int} steps',
 	function (this: FleetWorld, percent: number, steps: number) {
 		const { stepMs } = seen<Speed>(this, 'speed');
-		const { eventMs } = seen<CostModel>(this, 'model').of(service);
+		const { eventIntervalMs: eventMs } = seen<CostModel>(this, 'model').of(service);
 		assertWithin(eventMs, steps * stepMs, percent);
 	},
 );
@@ -105,13 +105,18 @@
 cucumber.When('one first event comes {int} s late', function (this: FleetWorld, seconds: number) {
 	const wild = { promptTokens: 3000, aheadTokens: 0, copiedTokens: 0, delayMs: seconds * 1000 };
 	const at = 30_000;
-	seen<CostModel>(this, 'model').firstEvent(service, { ...wild, engine: 1, at, isQueued: false });
+	seen<CostModel>(this, 'model').recordFirstEvent(service, {
+		...wild,
+		engine: 1,
+		at,
+		isQueued: false,
+	});
 });
 
 cucumber.When('another VM starts and hears the news of the first', function (this: FleetWorld) {
 	const told = gossipMessage({ costs: seen<CostModel>(this, 'model').export([]) });
 	const other = new CostModel();
-	other.take('vm-1', newsIn(encodeNews(told))?.costs ?? []);
+	other.merge('vm-1', newsIn(encodeNews(told))?.costs ?? []);
 	this.seen.set('other', other);
 });
 
@@ -121,7 +126,7 @@
 		const first = seen<CostModel>(this, 'model').of(service);
 		const other = seen<CostModel>(this, 'other').of(service);
 		assertWithin(other.readMsPerToken, first.readMsPerToken, percent);
-		assertWithin(other.eventMs, first.eventMs, percent);
+		assertWithin(other.eventIntervalMs, first.eventIntervalMs, percent);
 		assertWithin(other.answerMsPerToken, first.answerMsPerToken, percent);
 	},
 );
@@ -146,10 +151,10 @@
 		for (let at = 0; at < firsts; at++) {
 			const promptTokens = 100 * (1 + (at % 50));
 			const sizes = { promptTokens, aheadTokens: 0, copiedTokens: 0 };
-			model.firstEvent(service, { ...sizes, delayMs: 0, engine: 1, at, isQueued: false });
+			model.recordFirstEvent(service, { ...sizes, delayMs: 0, engine: 1, at, isQueued: false });
 		}
 		for (let at = 0; at < pauses; at++) {
-			model.pauseSeen(service, { ms: 0, engine: 1, at, calmMs: 0 });
+			model.recordPause(service, { ms: 0, engine: 1, at, undisturbedMs: 0 });
 		}
 	},
 );
--- a/test/steps/engine-notices.steps.ts
+++ b/test/steps/engine-notices.steps.ts
@@ -8,7 +8,7 @@
 import * as cucumber from '@cucumber/cucumber';
 import type { Engine } from '../../src/core/engines/engine.js';
 import { EngineDirectory } from '../../src/core/engines/engine-directory.js';
-import { usualPace } from '../../src/core/engines/engine-pace.js';
+import { nominalPace } from '../../src/core/engines/engine-pace.js';
 import type { AnswerListener, EngineCall } from '../../src/core/relay/definitions.js';
 import { RelayedRequest } from '../../src/core/relay/relayed-request.js';
 import type { RelayContext } from '../../src/core/relay/types.js';
@@ -192,10 +192,10 @@
 		log: silentLog,
 		decode: platform.decodeEngine,
 		idOf: platform.engineIdOf,
-		onAddressGone() {},
-		onGone() {},
+		onAddressUnused() {},
+		onRemoved() {},
 		onChanged() {},
-		onRead() {},
+		onLoaded() {},
 	});
 	const items = ids.map((id, index) =>
 		registration(id, index + 1, { address: `10.0.0.${index + 1}:80` }),
@@ -208,7 +208,7 @@
 	'engine {string} in the directory asks for a back-off of {int} seconds',
 	function (this: FleetWorld, id: string, seconds: number) {
 		const engine = seen<EngineDirectory>(this, 'directory').get(id) as Engine;
-		engine.notices.heard({ leaving: false, restS: seconds }, clockOf(this).sinceBoot());
+		engine.notices.apply({ isDraining: false, backOffS: seconds }, clockOf(this).sinceBoot());
 	},
 );
 
@@ -218,7 +218,7 @@
 
 const offeredIds = (world: FleetWorld) =>
 	seen<EngineDirectory>(world, 'directory')
-		.offered('pool')
+		.eligible('pool')
 		.map(({ id }) => id);
 
 cucumber.Then('engine {string} is not offered', function (this: FleetWorld, id: string) {
@@ -241,10 +241,10 @@
 				return running;
 			},
 		};
-		const [first] = directory.offered('pool');
+		const [first] = directory.eligible('pool');
 		const work = { running: 0, promptTokens: 0 };
 		const choose = (_req: unknown, engines: readonly Engine[]) => {
-			const figures = { readMsPerToken: 0, waitMs: 0, pace: usualPace };
+			const figures = { readMsPerToken: 0, waitMs: 0, pace: nominalPace };
 			return { engine: engines[0] ?? first, work, reason: 'test', ...figures };
 		};
 		const ctx = {
--- a/test/steps/engine-orders.steps.ts
+++ b/test/steps/engine-orders.steps.ts
@@ -7,7 +7,7 @@
 import type { EngineOrder } from '../../src/core/duties/definitions.js';
 import type { DutyHolder } from '../../src/core/duties/duty-holder.js';
 import { EngineAutoscaler } from '../../src/core/duties/engine-autoscaler.js';
-import type { EngineEntry } from '../../src/core/engines/types.js';
+import type { EngineRegistration } from '../../src/core/engines/types.js';
 import type { ScalingLimits } from '../../src/core/routing/types.js';
 import { entry, seededRandom, seen, silentLog } from './relay-fakes.js';
 import { SimulatedApi, SimulatedTime } from './simulated-platform.js';
@@ -17,7 +17,7 @@
 /** Time until a draining engine is gone. */
 const drainMs = 3000;
 
-interface SimulatedEngine extends EngineEntry {
+interface SimulatedEngine extends EngineRegistration {
 	servesAt: number;
 	goneAt: number;
 }
--- a/test/steps/engine-speeds.steps.ts
+++ b/test/steps/engine-speeds.steps.ts
@@ -139,9 +139,9 @@
 			const pace = paceOf(engine);
 			const sizes = { promptTokens: 2000, aheadTokens: 0, copiedTokens: 0, isQueued: false };
 			if (engine % 10 === (at / 100) % 10) {
-				model.firstEvent(service, { ...sizes, delayMs: 50 * pace, engine, at });
+				model.recordFirstEvent(service, { ...sizes, delayMs: 50 * pace, engine, at });
 			}
-			model.pauseSeen(service, { ms: 20 * pace, engine, at, calmMs: 20 * pace });
+			model.recordPause(service, { ms: 20 * pace, engine, at, undisturbedMs: 20 * pace });
 		}
 	}
 }
@@ -168,7 +168,7 @@
 		const fleet = seen<SimulatedFleet>(this, 'simulated');
 		for (const { registration: listed, costs } of fleet.running) {
 			const [slow, usual] = [1, 2].map(
-				(engine) => costs.at(service, engine, fleet.clock.now).eventMs,
+				(engine) => costs.ofEngine(service, engine, fleet.clock.now).eventIntervalMs,
 			);
 			const ratio = (slow ?? 0) / (usual ?? 1);
 			assert.ok(ratio >= least && ratio <= most, `${listed.name}: ${ratio}`);
@@ -201,7 +201,7 @@
 );
 
 cucumber.When('engine "a" starts anew', function (this: FleetWorld) {
-	seen<CostModel>(this, 'model').speeds.forgetEngine(1);
+	seen<CostModel>(this, 'model').paces.removeEngine(1);
 });
 
 function assertPace({ reading, steps }: Pace, least: number, most: number): void {
@@ -213,7 +213,7 @@
 cucumber.Then(
 	/^it expects ([\d.]+) to ([\d.]+) times as long of it( in|, in) the mean of half a minute( too)?$/,
 	function (this: FleetWorld, least: string, most: string, _in: string, too: string | undefined) {
-		const { speeds } = seen<CostModel>(this, 'model');
+		const { paces: speeds } = seen<CostModel>(this, 'model');
 		const now = seen<number>(this, 'now');
 		assertPace(speeds.steadyPace(service, 1, now), Number(least), Number(most));
 		if (too) {
@@ -227,7 +227,7 @@
 	for (let at = 0; at < 2000; at += 100) {
 		for (let engine = 1; engine <= 940; engine++) {
 			const ms = engine % 100 === 0 ? 100 : 20;
-			model.pauseSeen(service, { ms, engine: engine * 4_000_000, at, calmMs: ms });
+			model.recordPause(service, { ms, engine: engine * 4_000_000, at, undisturbedMs: ms });
 		}
 	}
 	this.seen.set('model', model);
@@ -236,7 +236,7 @@
 cucumber.Then(
 	'its news of speeds take at most {int} bytes',
 	function (this: FleetWorld, most: number) {
-		const speeds = seen<CostModel>(this, 'model').speeds.export([], 2000, 24);
+		const speeds = seen<CostModel>(this, 'model').paces.export([], 2000, 24);
 		const bytes =
 			encodeNews(gossipMessage({ speeds })).length - encodeNews(gossipMessage({})).length;
 		assert.ok(bytes <= most, `${bytes}`);
@@ -246,7 +246,7 @@
 cucumber.Then(
 	'each engine is told of within {int} of them, those that turned slow within {int}',
 	function (this: FleetWorld, all: number, turned: number) {
-		const { speeds } = seen<CostModel>(this, 'model');
+		const { paces: speeds } = seen<CostModel>(this, 'model');
 		const told = (times: number) => {
 			const news = Array.from({ length: times }, () => speeds.export([], 2000, 24));
 			return new Set(
--- a/test/steps/fleet-health.steps.ts
+++ b/test/steps/fleet-health.steps.ts
@@ -49,14 +49,14 @@
 	}
 
 	private request(vm: SimulatedVm, fails: Failure): void {
-		const admitted = vm.health.admitted(this.engines);
+		const admitted = vm.health.filterAvailable(this.engines);
 		const engine = admitted[Math.floor(this.next() * admitted.length)] as { ref: number };
 		this.sent.set(engine.ref, (this.sent.get(engine.ref) ?? 0) + 1);
 		if (fails(vm, engine.ref, this.next())) {
 			this.failed++;
-			vm.health.failed(engine);
+			vm.health.recordFailure(engine);
 		} else {
-			vm.health.served(engine);
+			vm.health.recordSuccess(engine);
 		}
 	}
 }
@@ -119,12 +119,16 @@
 
 cucumber.Then('no other VM avoids an engine', function (this: FleetWorld) {
 	const { fleet, engines } = seen<Requests>(this, 'requests');
-	const avoiding = fleet.vms.slice(1).filter((vm) => vm.health.admitted(engines) !== engines);
+	const avoiding = fleet.vms
+		.slice(1)
+		.filter((vm) => vm.health.filterAvailable(engines) !== engines);
 	assert.equal(avoiding.length, 0, `${avoiding.length} VMs avoid engines`);
 });
 
 cucumber.Then('each VM may use all engines', function (this: FleetWorld) {
 	const { fleet, engines } = seen<Requests>(this, 'requests');
-	const avoiding = fleet.vms.filter((vm) => vm.health.admitted(engines).length < engines.length);
+	const avoiding = fleet.vms.filter(
+		(vm) => vm.health.filterAvailable(engines).length < engines.length,
+	);
 	assert.equal(avoiding.length, 0, `${avoiding.length} VMs avoid engines`);
 });
--- a/test/steps/observed-answer.ts
+++ b/test/steps/observed-answer.ts
@@ -2,8 +2,9 @@
  * What the relay would tell the cost model of one answer of a simulated engine.
  * @module
  */
-import { CalmPauses } from '../../src/core/engines/calm-pauses.js';
+
 import type { CostModel } from '../../src/core/engines/cost-model.js';
+import { UndisturbedPauseFilter } from '../../src/core/engines/undisturbed-pause-filter.js';
 import type { EngineRef } from '../../src/core/fleet/types.js';
 import type { BatchRequest } from '../stand-ins/batch-engine.js';
 
@@ -35,7 +36,7 @@
 	let firstAt: number | undefined;
 	let lastAt = 0;
 	let events = 0;
-	const calm = new CalmPauses();
+	const calm = new UndisturbedPauseFilter();
 	return {
 		sentAt,
 		promptTokens,
@@ -46,18 +47,18 @@
 				firstAt = at;
 				const delayMs = at - sentAt;
 				const sizes = { promptTokens, aheadTokens, copiedTokens: 0 };
-				model.firstEvent(service, { ...sizes, delayMs, engine, at, isQueued });
+				model.recordFirstEvent(service, { ...sizes, delayMs, engine, at, isQueued });
 				req.onFirst?.(delayMs);
 			} else {
 				const ms = at - lastAt;
-				const calmMs = calm.next(ms, isBesidePrompts());
-				model.pauseSeen(service, { ms, engine, at, calmMs });
+				const calmMs = calm.add(ms, isBesidePrompts());
+				model.recordPause(service, { ms, engine, at, undisturbedMs: calmMs });
 			}
 			lastAt = at;
 		},
 		onEnd: () => {
 			const heldMs = lastAt - (firstAt ?? lastAt);
-			model.answerSeen(service, { events, expectedTokens, heldMs });
+			model.recordAnswer(service, { events, expectedTokens, slotOccupancyMs: heldMs });
 			req.onEnd?.();
 		},
 	};
--- a/test/steps/overload.steps.ts
+++ b/test/steps/overload.steps.ts
@@ -153,7 +153,7 @@
 		const targetMs = kind.targetMs * this.slower;
 		const req: PlacementRequest = {
 			service,
-			parts: [
+			segments: [
 				{ id: `${number}-a`, tokens: 10 },
 				{ id: `${number}-b`, tokens: promptTokens - 10 },
 			],
@@ -161,7 +161,7 @@
 			answerTokens: kind.answerTokens,
 			targetMs,
 			tightestPauseMs: pauseMs * this.slower,
-			leastUrgent: kind.leastUrgent,
+			isLeastUrgentTier: kind.leastUrgent,
 			tried: new Set(),
 			...unlimited,
 		};
@@ -180,7 +180,7 @@
 
 	private send(
 		req: PlacementRequest,
-		{ id: engineId, ref, entry: { slots } }: Engine,
+		{ id: engineId, ref, registration: { slots } }: Engine,
 		now: number,
 		onFirst: (delayMs: number) => void,
 	): void {
--- a/test/steps/quarantine.steps.ts
+++ b/test/steps/quarantine.steps.ts
@@ -127,7 +127,7 @@
 
 /** The part of an engine that the quarantine uses. */
 function engine(ref: number): Engine {
-	return { ref, entry: { address: `10.0.0.1:${ref}` } } as Engine;
+	return { ref, registration: { address: `10.0.0.1:${ref}` } } as Engine;
 }
 
 const contents: Readonly<Record<string, number>> = { p: 17, q: 18, hot: 19, crasher: 20 };
--- a/test/steps/relay-fakes.ts
+++ b/test/steps/relay-fakes.ts
@@ -4,7 +4,7 @@
  */
 import type { Log } from '../../src/core/definitions.js';
 import { CostModel } from '../../src/core/engines/cost-model.js';
-import type { AnswerNews } from '../../src/core/engines/fleet-health.js';
+import type { AnswerGossip } from '../../src/core/engines/fleet-health.js';
 import { FleetView } from '../../src/core/fleet/fleet-view.js';
 import type { EngineRange, GossipMessage } from '../../src/core/fleet/types.js';
 import { gossipKinds } from '../../src/core/fleet/types.js';
@@ -59,13 +59,17 @@
 };
 
 /** Answer gossip for a fleet without failing engines. */
-export const noAnswerGossip: AnswerNews = { export: () => [], take: () => false, forget() {} };
+export const noAnswerGossip: AnswerGossip = {
+	export: () => [],
+	merge: () => false,
+	removePeer() {},
+};
 
 /** Health of a fleet without failing engines. */
 export const alwaysHealthy: RelayContext['fleetHealth'] = {
-	admitted: (engines) => engines,
-	failed() {},
-	served() {},
+	filterAvailable: (engines) => engines,
+	recordFailure() {},
+	recordSuccess() {},
 };
 
 /** Permits of a placement without engine limits. */
--- a/test/steps/relay-fleet.steps.ts
+++ b/test/steps/relay-fleet.steps.ts
@@ -62,9 +62,9 @@
 		log: silentLog,
 		decode: platform.decodeEngine,
 		idOf: platform.engineIdOf,
-		onAddressGone() {},
-		onGone,
-		onRead() {},
+		onAddressUnused() {},
+		onRemoved: onGone,
+		onLoaded() {},
 		onChanged,
 	});
 	const items = ids.split(', ').map((id) => registration(id, 1));
@@ -82,11 +82,11 @@
 
 function addFleetRequests(this: FleetWorld, count: number, id: string): void {
 	const fleet = newFleetView(this);
-	const engines = newDirectory(this, 'a, b', (engine) => fleet.removeEngine(engine.key));
-	const [engine] = engines.offered('pool').filter((one) => one.id === id);
+	const engines = newDirectory(this, 'a, b', (engine) => fleet.removeEngine(engine.incarnationKey));
+	const [engine] = engines.eligible('pool').filter((one) => one.id === id);
 	assert.ok(engine);
-	fleet.receive(workMessage(this, engine.key, count, { seq: 1 }));
-	assert.equal(fleet.workAt(engine.key).running, count);
+	fleet.receive(workMessage(this, engine.incarnationKey, count, { seq: 1 }));
+	assert.equal(fleet.workAt(engine.incarnationKey).running, count);
 	this.seen.set('directory', engines);
 	this.seen.set('fleet', fleet);
 	this.seen.set('engine before', engine);
@@ -103,8 +103,10 @@
 	function (this: FleetWorld, count: number, id: string) {
 		const before = seen<Engine>(this, 'engine before');
 		assert.equal(before.id, id);
-		before.health.unreachable(clockOf(this).now);
-		seen<FleetView>(this, 'fleet').receive(workMessage(this, before.key, count, { seq: 2 }));
+		before.health.recordUnreachable(clockOf(this).now);
+		seen<FleetView>(this, 'fleet').receive(
+			workMessage(this, before.incarnationKey, count, { seq: 2 }),
+		);
 	},
 );
 
@@ -112,11 +114,11 @@
 	'the fleet has {int} requests at the {string} of now, and it is open',
 	function (this: FleetWorld, count: number, id: string) {
 		const engines = seen<EngineDirectory>(this, 'directory');
-		const [engine] = engines.offered('pool').filter((one) => one.id === id);
+		const [engine] = engines.eligible('pool').filter((one) => one.id === id);
 		assert.ok(engine);
-		assert.equal(seen<FleetView>(this, 'fleet').workAt(engine.key).running, count);
-		assert.ok(engine.health.admits(clockOf(this).now));
-		assert.ok(seen<Engine>(this, 'engine before').isGone);
+		assert.equal(seen<FleetView>(this, 'fleet').workAt(engine.incarnationKey).running, count);
+		assert.ok(engine.health.isAvailable(clockOf(this).now));
+		assert.ok(seen<Engine>(this, 'engine before').isRemoved);
 	},
 );
 
@@ -153,10 +155,10 @@
 				const engines = newDirectory(this, 'a, b, c');
 				const item = { ...registration(id, 2), value };
 				engines.applyChanges({ events: [{ kind: 'put' as const, item }], revision: 2 });
-				const offered = engines.offered('pool').map((engine) => engine.id);
+				const offered = engines.eligible('pool').map((engine) => engine.id);
 				assert.equal(offered.join(', '), ids);
 				const peer = newDirectory(this, 'd');
-				assert.ok(peer.takeCopy(engines.export(0)));
+				assert.ok(peer.applyCopy(engines.export(0)));
 				assert.equal(peer.digest, engines.digest);
 			}),
 			{ numRuns: 300, seed: 11 },
@@ -165,7 +167,7 @@
 );
 
 cucumber.Given('a peer with the same directory', function (this: FleetWorld) {
-	const ids = seen<EngineDirectory>(this, 'directory').offered('pool');
+	const ids = seen<EngineDirectory>(this, 'directory').eligible('pool');
 	this.seen.set('peer', newDirectory(this, ids.map((engine) => engine.id).join(', ')));
 });
 
@@ -187,10 +189,10 @@
 		assert.notEqual(peer.digest, own.digest);
 		const text = own.export(peer.revision);
 		assert.equal(JSON.parse(text).items.length, 1);
-		assert.ok(peer.takeCopy(text));
+		assert.ok(peer.applyCopy(text));
 		assert.equal(peer.digest, own.digest);
 		assert.deepEqual(
-			peer.offered('pool').map((engine) => engine.id),
+			peer.eligible('pool').map((engine) => engine.id),
 			ids.split(', '),
 		);
 	},
@@ -198,7 +200,7 @@
 
 cucumber.When('each engine writes its registration again', function (this: FleetWorld) {
 	const own = seen<EngineDirectory>(this, 'directory');
-	const events = own.offered('pool').map(({ id }, index) => {
+	const events = own.eligible('pool').map(({ id }, index) => {
 		return { kind: 'put' as const, item: registration(id, 2 + index, { sequence: 7 + index }) };
 	});
 	own.applyChanges({ events, revision: 1 + events.length });
@@ -225,7 +227,7 @@
 	const peer = seen<EngineDirectory>(this, 'peer');
 	assert.notEqual(peer.digest, own.digest);
 	assert.equal(seen<number>(this, 'notifications'), 1);
-	assert.ok(peer.takeCopy(own.export(peer.revision)));
+	assert.ok(peer.applyCopy(own.export(peer.revision)));
 	assert.equal(peer.digest, own.digest);
 });
 
@@ -249,8 +251,8 @@
 cucumber.Then('a peer that knows no engines asks for all of them', function (this: FleetWorld) {
 	const own = seen<EngineDirectory>(this, 'directory');
 	const peer = newDirectory(this, 'z');
-	assert.equal(peer.takeCopy(own.export(own.revision)), false);
-	assert.ok(peer.takeCopy(own.export(0)));
+	assert.equal(peer.applyCopy(own.export(own.revision)), false);
+	assert.ok(peer.applyCopy(own.export(0)));
 	assert.equal(peer.digest, own.digest);
 });
 
@@ -266,7 +268,7 @@
 	'the store is lost and returns without {string}',
 	function (this: FleetWorld, id: string) {
 		const directory = seen<EngineDirectory>(this, 'directory');
-		const left = directory.offered('pool').filter((engine) => engine.id !== id);
+		const left = directory.eligible('pool').filter((engine) => engine.id !== id);
 		directory.handleStoreLost();
 		directory.applySnapshot(
 			left.map((engine) => registration(engine.id, 3)),
@@ -278,13 +280,13 @@
 
 cucumber.When('the store is lost and returns whole', function (this: FleetWorld) {
 	const directory = seen<EngineDirectory>(this, 'directory');
-	const all = directory.offered('pool').map((engine) => registration(engine.id, 3));
+	const all = directory.eligible('pool').map((engine) => registration(engine.id, 3));
 	directory.handleStoreLost();
 	directory.applySnapshot(all, 0, 3);
 });
 
 cucumber.Then('engines {string} are offered', function (this: FleetWorld, ids: string) {
-	const offered = seen<EngineDirectory>(this, 'directory').offered('pool');
+	const offered = seen<EngineDirectory>(this, 'directory').eligible('pool');
 	assert.equal(offered.map((engine) => engine.id).join(', '), ids);
 });
 
@@ -454,7 +456,7 @@
 	const engines = { from: 3_000_000_000, to: 2 ** 32 };
 	const reportAcks = [{ vm: 4_000_000_001, seq: 70_000 }];
 	const line = { weight: 12.5, x: 4000, y: 130.25, xx: 9_000_000, xy: 800_000 };
-	const pauses = { eventMs: 17.5, eventWeight: 100, events: 900, expectedTokens: 4000 };
+	const pauses = { eventIntervalMs: 17.5, eventWeight: 100, events: 900, expectedTokens: 4000 };
 	const costs = [{ service: 3_000_000_000, reading: line, copying: line, ...pauses }];
 	const demand = { long: 1.25, short: 0.5 };
 	const pace = { reading: { weight: 2, sum: 1 }, steps: { weight: 0.5, sum: -0.25 } };
--- a/test/steps/relay-gossip.steps.ts
+++ b/test/steps/relay-gossip.steps.ts
@@ -298,7 +298,7 @@
 			const delayMs = 10 + promptTokens / speed;
 			const sizes = { promptTokens, aheadTokens: 0, copiedTokens: 0 };
 			const now = fleet.clock.now;
-			costs.firstEvent('pool', { ...sizes, delayMs, engine: 1, at: now, isQueued: false });
+			costs.recordFirstEvent('pool', { ...sizes, delayMs, engine: 1, at: now, isQueued: false });
 		}
 	},
 );
--- a/test/steps/relay-large-fleet.steps.ts
+++ b/test/steps/relay-large-fleet.steps.ts
@@ -60,7 +60,7 @@
 			{ id: 'shared', tokens: 300 },
 			{ id: 'own', tokens: 200 },
 		];
-		place(this, { parts }, 'prompt', false);
+		place(this, { segments: parts }, 'prompt', false);
 		clock.monotonic = read;
 		assert.ok(times <= most, `${times} times`);
 	},
--- a/test/steps/relay-placement.steps.ts
+++ b/test/steps/relay-placement.steps.ts
@@ -6,12 +6,12 @@
 import * as cucumber from '@cucumber/cucumber';
 import { CostModel } from '../../src/core/engines/cost-model.js';
 import { Engine } from '../../src/core/engines/engine.js';
-import { EngineDivision } from '../../src/core/engines/engine-division.js';
 import { EngineHealth } from '../../src/core/engines/engine-health.js';
+import { EnginePartition } from '../../src/core/engines/engine-partition.js';
 import { EnginePlacement } from '../../src/core/engines/placement.js';
 import type { Placement, PlacementRequest } from '../../src/core/engines/placement-types.js';
-import type { CostFigures } from '../../src/core/engines/work-estimate.js';
-import { longWorkMs, shortWorkMs } from '../../src/core/engines/work-estimate.js';
+import type { CostEstimates } from '../../src/core/engines/work-estimate.js';
+import { longPromptWorkMs, shortPromptWorkMs } from '../../src/core/engines/work-estimate.js';
 import type { FleetView } from '../../src/core/fleet/fleet-view.js';
 import type { CallerRequest } from '../../src/core/relay/definitions.js';
 import * as platform from '../../src/platform/index.js';
@@ -37,8 +37,8 @@
 		least: number,
 		most: number,
 	) {
-		const costs = seen<CostFigures>(this, 'costs');
-		const workMs = kind === 'long' ? longWorkMs : shortWorkMs;
+		const costs = seen<CostEstimates>(this, 'costs');
+		const workMs = kind === 'long' ? longPromptWorkMs : shortPromptWorkMs;
 		const ms = workMs(costs, { promptTokens, answerTokens }, slots);
 		assert.ok(ms >= least && ms <= most, `${ms} ms`);
 	},
@@ -71,12 +71,12 @@
 	const fleet = seen<FleetView>(world, 'fleet');
 	const req: PlacementRequest = {
 		service: 'pool',
-		parts: [],
+		segments: [],
 		promptTokens: 500,
 		answerTokens: 100,
 		targetMs: 1000,
 		tightestPauseMs: 150,
-		leastUrgent: true,
+		isLeastUrgentTier: true,
 		tried: new Set(),
 		...unlimited,
 		...part,
@@ -85,7 +85,7 @@
 	const result = seen<EnginePlacement>(world, 'placement').choose(req, engines, 0);
 	if ('engine' in result && isCounted) {
 		fleet.changeWork(result.engine.id, { running: 1, promptTokens: result.promptTokens });
-		fleet.recordPrefill(req.parts.slice(0, -1), result.engine.id, false);
+		fleet.recordPrefill(req.segments.slice(0, -1), result.engine.id, false);
 		const placed = seen<Map<string, string[]>>(world, 'placed');
 		placed.set(result.engine.id, [...(placed.get(result.engine.id) ?? []), label]);
 	}
@@ -103,7 +103,7 @@
 		for (let at = 0; at < count; at++) {
 			const own = { id: `own-${at}`, tokens: promptTokens - sharedTokens };
 			const parts = [{ id: 'shared', tokens: sharedTokens }, own];
-			this.seen.set('last', place(this, { parts, promptTokens }, 'prompt'));
+			this.seen.set('last', place(this, { segments: parts, promptTokens }, 'prompt'));
 		}
 	},
 );
@@ -121,12 +121,12 @@
 function placedWithOpen(world: FleetWorld, promptTokens: number, sharedTokens: number) {
 	const own = { id: 'own', tokens: promptTokens - sharedTokens };
 	const parts = [{ id: 'shared', tokens: sharedTokens }, own];
-	const addresses = seen<Engine[]>(world, 'engines').map((engine) => engine.entry.address);
+	const addresses = seen<Engine[]>(world, 'engines').map((engine) => engine.registration.address);
 	return addresses.map((open) => {
 		startEngines(world, addresses.length);
 		seen<Set<string>>(world, 'connected').add(open);
-		const { engine } = place(world, { parts, promptTokens }, 'prompt') as Placement;
-		return { open, chosen: engine.entry.address };
+		const { engine } = place(world, { segments: parts, promptTokens }, 'prompt') as Placement;
+		return { open, chosen: engine.registration.address };
 	});
 }
 
@@ -172,7 +172,7 @@
 		const head = { method: 'POST', target: '/', rawHeaders, arrivedAt: 0 };
 		const req = platform.decodeRequest(head, Buffer.from('')) as CallerRequest;
 		const call = { address: '10.0.0.2:1', engineId: 'b', req, deadlineMs: 1, urgency: 1 };
-		const copyFrom = seen<Engine>(this, 'first').entry.address;
+		const copyFrom = seen<Engine>(this, 'first').registration.address;
 		this.seen.set('head', platform.encodeCall({ ...call, copyFrom }));
 	},
 );
@@ -181,7 +181,7 @@
 	const head = seen<string[]>(this, 'head').map((text) => text.toLowerCase());
 	assert.deepEqual(
 		head.filter((_, at) => at % 2 === 1 && head[at - 1] === 'kv-fetch'),
-		[seen<Engine>(this, 'first').entry.address],
+		[seen<Engine>(this, 'first').registration.address],
 	);
 });
 
@@ -197,8 +197,8 @@
 				{ id: `p${at}`, tokens: 10 },
 				{ id: `q${at}`, tokens: 10 },
 			];
-			place(this, { parts, promptTokens: 8000, targetMs: 60_000 }, 'long');
-			place(this, { parts, promptTokens: 300, leastUrgent: false }, 'short');
+			place(this, { segments: parts, promptTokens: 8000, targetMs: 60_000 }, 'long');
+			place(this, { segments: parts, promptTokens: 300, isLeastUrgentTier: false }, 'short');
 		}
 	},
 );
@@ -220,9 +220,9 @@
 	'of {int} engines {int} read long prompts',
 	function (this: FleetWorld, engines: number, long: number) {
 		const all = Array.from({ length: engines }, (_, at) => new Engine(entry(`engine-${at}`)));
-		const division = new EngineDivision().divide(all, seen(this, 'demand'));
-		assert.equal(division.long.size, long);
-		assert.equal(division.short.size, engines - long);
+		const division = new EnginePartition().partition(all, seen(this, 'demand'));
+		assert.equal(division.longPool.size, long);
+		assert.equal(division.shortPool.size, engines - long);
 	},
 );
 
@@ -290,19 +290,19 @@
 cucumber.Then(
 	'a prompt of the least urgent tier is refused with a time to come back',
 	function (this: FleetWorld) {
-		const result = place(this, { parts: twoParts, leastUrgent: true }, 'low');
+		const result = place(this, { segments: twoParts, isLeastUrgentTier: true }, 'low');
 		assert.ok('refusal' in result && result.retryAfterS > 0);
 	},
 );
 
 cucumber.Then('a more urgent prompt is placed', function (this: FleetWorld) {
-	assert.ok('engine' in place(this, { parts: twoParts, leastUrgent: false }, 'high'));
+	assert.ok('engine' in place(this, { segments: twoParts, isLeastUrgentTier: false }, 'high'));
 });
 
 cucumber.Given('an engine that failed 3 times in a row', function (this: FleetWorld) {
 	const health = new EngineHealth();
 	for (let at = 0; at < 3; at++) {
-		health.failed(clockOf(this).now);
+		health.recordFailure(clockOf(this).now);
 	}
 	this.seen.set('health', health);
 });
@@ -310,7 +310,7 @@
 cucumber.Given('an engine that rejected 3 times in a row', function (this: FleetWorld) {
 	const health = new EngineHealth();
 	for (let at = 0; at < 3; at++) {
-		health.rejected(clockOf(this).now);
+		health.recordRejection(clockOf(this).now);
 	}
 	this.seen.set('health', health);
 });
@@ -319,31 +319,31 @@
 	'an engine with a request under way and no word for {int} ms',
 	function (this: FleetWorld, ms: number) {
 		const health = new EngineHealth();
-		health.sent(clockOf(this).now, 0);
+		health.recordSent(clockOf(this).now, 0);
 		clockOf(this).now += ms;
 		this.seen.set('health', health);
 	},
 );
 
 cucumber.Then('it admits nothing', function (this: FleetWorld) {
-	assert.equal(seen<EngineHealth>(this, 'health').admits(clockOf(this).now), false);
+	assert.equal(seen<EngineHealth>(this, 'health').isAvailable(clockOf(this).now), false);
 });
 
 cucumber.When('its trial ends without a verdict', function (this: FleetWorld) {
 	const health = seen<EngineHealth>(this, 'health');
-	health.sent(clockOf(this).now, 0);
-	health.ended(0);
+	health.recordSent(clockOf(this).now, 0);
+	health.recordEnd(0);
 });
 
 cucumber.Then('it admits 1 request until that one ends', function (this: FleetWorld) {
 	const health = seen<EngineHealth>(this, 'health');
 	const { now } = clockOf(this);
-	assert.equal(health.admits(now), true);
-	health.sent(now, 0);
-	assert.equal(health.admits(now), false);
-	health.ended(0);
-	health.succeeded();
-	assert.equal(health.admits(now), true);
+	assert.equal(health.isAvailable(now), true);
+	health.recordSent(now, 0);
+	assert.equal(health.isAvailable(now), false);
+	health.recordEnd(0);
+	health.recordSuccess();
+	assert.equal(health.isAvailable(now), true);
 });
 
 cucumber.When('the first event of the first comes', function (this: FleetWorld) {
@@ -372,7 +372,12 @@
 		for (let at = 0; at < prompts; at++) {
 			const own = { id: `own-${at}`, tokens: promptTokens - 5000 };
 			const parts = [{ id: 'shared', tokens: 5000 }, own];
-			const { copyFrom } = place(this, { parts, promptTokens }, 'prompt', false) as Placement;
+			const { copyFrom } = place(
+				this,
+				{ segments: parts, promptTokens },
+				'prompt',
+				false,
+			) as Placement;
 			const id = copyFrom?.id ?? 'none';
 			sources.set(id, (sources.get(id) ?? 0) + 1);
 		}
--- a/test/steps/simulated-crashes.ts
+++ b/test/steps/simulated-crashes.ts
@@ -182,5 +182,5 @@
 
 /** The part of an engine that the quarantine uses. */
 function engineOf(ref: number): Parameters<Quarantine['recordFailure']>[1] {
-	return { ref, entry: { address: `10.0.0.1:${ref}` } } as Engine;
+	return { ref, registration: { address: `10.0.0.1:${ref}` } } as Engine;
 }
--- a/test/steps/simulated-fleet.ts
+++ b/test/steps/simulated-fleet.ts
@@ -109,8 +109,8 @@
 			clock: this.clock,
 			log: silentLog,
 			random: { next: this.next, hex: () => '' },
-			heardVms: () => fleet.size,
-			onNews: () => vm.exchange.markChanged(),
+			countLiveVms: () => fleet.size,
+			onUpdate: () => vm.exchange.markChanged(),
 			engineId: () => undefined,
 		});
 		const fleet = new FleetView({
--- a/test/steps/suspension.steps.ts
+++ b/test/steps/suspension.steps.ts
@@ -6,7 +6,7 @@
 import * as cucumber from '@cucumber/cucumber';
 import { CostModel } from '../../src/core/engines/cost-model.js';
 import { Engine } from '../../src/core/engines/engine.js';
-import { usualPace } from '../../src/core/engines/engine-pace.js';
+import { nominalPace } from '../../src/core/engines/engine-pace.js';
 import type { FleetView } from '../../src/core/fleet/fleet-view.js';
 import { VmRegistry } from '../../src/core/fleet/vm-registry.js';
 import { Quarantine } from '../../src/core/quarantine/quarantine.js';
@@ -235,13 +235,19 @@
 	const engines = ['a', 'b'].map((id) => new Engine(entry(id)));
 	const isPortClosed = async () => false;
 	const work = { engine: 0, running: 0, promptTokens: 0 };
-	const figures = { promptTokens: 0, readingMs: 0, waitMs: 0, readMsPerToken: 0, pace: usualPace };
+	const figures = {
+		promptTokens: 0,
+		readingMs: 0,
+		waitMs: 0,
+		readMsPerToken: 0,
+		pace: nominalPace,
+	};
 	const tokens = { ...figures, cachedTokens: 0, copiedTokens: 0, work, reason: '' };
 	const retries = { ratio: 1, windowMs: 10_000, extra: 10 };
 	return {
 		clock,
 		log: silentLog,
-		engines: { offered: () => engines, restLeftMs: () => 0 },
+		engines: { eligible: () => engines, backOffLeftMs: () => 0 },
 		placement: {
 			choose({ tried }: { tried: ReadonlySet<string> }) {
 				const engine = engines.find(({ id }) => !tried.has(id));
