--- a/src/core/engines/affinity-engines.ts
+++ b/src/core/engines/affinity-engines.ts
@@ -1,47 +1,44 @@
 /**
- * Engines where prompts that share much meet without a word between VMs: every VM draws the same two for a shared part, by rendezvous
- * hashing.
- *
- * The load it answers: prompts of thousands of subjects, faster than VMs can tell each other which engine has read which. Each would
- * be read anew, or copied, wherever the next one goes.
+ * Selects the affinity engines of a prompt prefix by rendezvous hashing. All VMs select the same ones without communication, which
+ * keeps prefix caches effective when prefixes are used faster than gossip spreads where they are cached.
  * @module
  */
 
 import { refOf } from '../fleet/refs.js';
 import type { EngineRef } from '../fleet/types.js';
 
-/** A second one takes what the first has no room for, so that a subject that is asked for often is read at two engines, not at all. */
-const homeCount = 2;
+/** The second engine takes the overflow of the first, so that a popular prefix is read by two engines rather than by all. */
+const affinityCount = 2;
 
-/** An engine, by what names it in messages. */
-interface Referred {
+/** Anything identified by an engine reference. */
+interface HasRef {
 	ref: EngineRef;
 }
 
 /**
- * @param key of what is shared
+ * @param key of the shared prefix
  * @param engines in any order
- * @returns the engines drawn for it, the first one first
+ * @returns the affinity engines, by descending preference
  */
-export function affinityEnginesOf<T extends Referred>(
+export function affinityEnginesOf<T extends HasRef>(
 	key: string,
 	engines: readonly T[],
 ): readonly T[] {
 	const keyRef = refOf(key);
-	const homes: { engine: T; score: number }[] = [];
+	const selected: { engine: T; score: number }[] = [];
 	for (const engine of engines) {
 		const score = mix(keyRef, engine.ref);
-		const last = homes[homeCount - 1];
+		const last = selected[affinityCount - 1];
 		if (last === undefined || score > last.score) {
-			homes.splice(homeCount - 1, 1);
-			homes.push({ engine, score });
-			homes.sort((a, b) => b.score - a.score);
+			selected.splice(affinityCount - 1, 1);
+			selected.push({ engine, score });
+			selected.sort((a, b) => b.score - a.score);
 		}
 	}
-	return homes.map(({ engine }) => engine);
+	return selected.map(({ engine }) => engine);
 }
 
-/** 32 bits that depend on all bits of both numbers (the final mix of MurmurHash3). */
+/** 32-bit hash of both numbers, by the finalizer of MurmurHash3. */
 function mix(key: number, ref: number): number {
 	let hash = Math.imul(key ^ Math.imul(ref, 0x9e3779b1), 0x85ebca6b);
 	hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b);
--- a/src/core/engines/cost-model.ts
+++ b/src/core/engines/cost-model.ts
@@ -1,6 +1,6 @@
 /**
- * What work costs on the engines of each service, learned from the answers that this VM passes on and from
- * what other VMs tell. Decisions about waiting, division and refusal rest on these figures alone.
+ * Estimates the cost of work on the engines of each service from the answers that this VM relays and from the
+ * observations that other VMs gossip. Placement, partitioning and refusals rely on these estimates.
  * @module
  */
 import type { EngineRef } from '../fleet/types.js';
@@ -11,82 +11,78 @@
 import type { CostEstimates } from './work-estimate.js';
 import { effectiveTokens, readingMs, scaleByPace } from './work-estimate.js';
 
-/**
- * Figures before anything was seen: the middle of what published figures of large models on current
- * accelerators give (40 to 70 prompt tokens a millisecond, a token each 3 to 6 ms, 3 to 6 tokens an event, copies over
- * 200 to 700 Gbit/s at 160 to 320 KiB a token). They weigh as much as a few observations.
- */
+/** Estimates used until observations arrive; typical of large models on current accelerators. */
 const prior = {
 	readMsPerToken: 0.02,
-	firstMs: 10,
+	firstEventOverheadMs: 10,
 	copyMsPerToken: 0.008,
 	copySetupMs: 4,
-	eventMs: 20,
+	eventIntervalMs: 20,
 	tokensPerEvent: 4.5,
-	heldMs: 1000,
+	slotOccupancyMs: 1000,
 };
-/** The prior of a line counts as so many observations at each of its ends. */
+/** Weight of the prior of a line at each of its ends, in observations. */
 const priorObservations = 3;
-/** Tokens of a usual long prompt: the far end of the prior line. */
+/** Tokens of a typical long prompt: the far end of the prior line. */
 const priorTokens = 3000;
-/** Delays of fewer tokens than this are equally uncertain: the rest of a delay hides the reading. */
-const unitTokens = 500;
-/** Observations of one VM that count: a few seconds of traffic, so that a release of faster engines shows. */
-const keepObservations = 150;
-/** Share of pauses that are shorter than an engine's undisturbed pause: the others have prompts read beside them. */
-const undisturbedShare = 0.3;
-/** A settled pause follows a lasting change within some 50 events, and stays within 3 % of it otherwise. */
+/** Below this number of tokens all delays are equally noisy, as overhead dominates the reading. */
+const noiseFloorTokens = 500;
+/** Decay of the observations of one VM: short enough to follow a rollout of faster engines within seconds. */
+const decayObservations = 150;
+/** Quantile of the pauses that represents an undisturbed one: longer pauses overlap the reading of prompts. */
+const undisturbedQuantile = 0.3;
+/** Relative step of the settled pause estimate: small enough to be stable, yet it follows a change within some 50 events. */
 const pauseStep = 0.03;
-const pauseSettled = 100;
-/** The prior of tokens an event counts as so many events. */
+const pauseSettledAfter = 100;
+/** Weight of the prior of tokens per event, in events. */
 const priorEvents = 50;
-/** Events of one VM that count for their tokens: some twenty answers. */
-const keepEvents = 1000;
+/** Decay of the counts of events and tokens, in events. */
+const decayEvents = 1000;
 
-/** Share of the mean time in a slot that one answer makes up. */
-const heldShare = 0.02;
+/** Weight of one answer in the moving average of slot occupancy. */
+const occupancyWeight = 0.02;
 
-/** What one VM has seen of a service's engines, for others to add up. */
+/** Observations of a service's engines, as sums that can be added up across VMs. */
 export interface CostSums {
-	/** 32 bits that stand for the service in messages. */
+	/** 32-bit hash that identifies the service in messages. */
 	service: number;
 	reading: LineSums;
 	copying: LineSums;
-	/** Undisturbed pause between two events in milliseconds, and the events behind it. */
+	/** Undisturbed pause between two events in milliseconds, and the number of events it is based on. */
 	eventIntervalMs: number;
 	eventWeight: number;
-	/** Events of whole answers, and the tokens that were expected of them. */
+	/** Events of completed answers, and the tokens that were expected of them. */
 	events: number;
 	expectedTokens: number;
 }
 
-/** One first event: what was to be read before it, as far as was known, and how long it took. */
+/** Time to the first event of a request, with the work that was known to precede it. */
 export interface FirstEventObservation {
 	/** Prompt tokens that the engine had to read for the request itself. */
 	promptTokens: number;
-	/** Prompt tokens of others that waited there when the request was sent. */
+	/** Prompt tokens of other requests that were queued at the engine when the request was sent. */
 	aheadTokens: number;
 	copiedTokens: number;
-	/** From sending to the first event, in milliseconds. */
+	/** From sending the request to its first event, in milliseconds. */
 	delayMs: number;
 	engine: EngineRef;
-	/** When the first event came, in monotonic milliseconds. */
+	/** When the first event arrived, in monotonic milliseconds. */
 	at: number;
-	/** The engine had no free slot for it when it was sent, as far as was known. */
+	/** Whether the engine was known to have no free slot when the request was sent. */
 	isQueued: boolean;
 }
 
-/** One pause between two events of a stream that its caller reads at once. */
+/** Pause between two events of a stream whose caller reads without delay. */
 export interface PauseObservation {
 	ms: number;
 	engine: EngineRef;
-	/** When it ended, in monotonic milliseconds. */
+	/** When the pause ended, in monotonic milliseconds. */
 	at: number;
-	/** A late pause of the stream beside which nothing was read; see `calm-pauses`. */
+	/** Undisturbed pause in milliseconds, when `UndisturbedPauseFilter` returned one. */
 	undisturbedMs?: number;
 }
 
-/** One stream that came to its end. */
+/** A stream that ran to its end. */
 export interface CompletedAnswer {
 	events: number;
 	/** Tokens that were expected of it. */
@@ -97,100 +93,100 @@
 
 class ServiceCosts {
 	private readonly reading = new LineEstimator(
-		line(prior.firstMs, prior.readMsPerToken),
-		keepObservations,
+		line(prior.firstEventOverheadMs, prior.readMsPerToken),
+		decayObservations,
 	);
 	private readonly copying = new LineEstimator(
 		line(prior.copySetupMs, prior.copyMsPerToken),
-		keepObservations,
+		decayObservations,
 	);
 	private readonly pause = new QuantileEstimator(
-		prior.eventMs,
-		undisturbedShare,
+		prior.eventIntervalMs,
+		undisturbedQuantile,
 		pauseStep,
-		pauseSettled,
+		pauseSettledAfter,
 	);
 	private events = 0;
 	private expectedTokens = 0;
-	private heldMs = prior.heldMs;
-	private readonly told = new Map<string, CostSums>();
-	private toldSums: Omit<CostSums, 'service'> = noCosts();
+	private slotOccupancyMs = prior.slotOccupancyMs;
+	private readonly peerSums = new Map<string, CostSums>();
+	private totalPeerSums: Omit<CostSums, 'service'> = emptyCostSums();
 	private cached?: CostEstimates;
-	/** Observations of this VM since its start. */
+	/** First events that this VM observed since its start. */
 	observations = 0;
 
 	constructor(private readonly ref: number) {}
 
-	/** VMs that told what they have seen. */
+	/** Number of VMs whose observations are included. */
 	get peers(): number {
-		return this.told.size;
+		return this.peerSums.size;
 	}
 
-	figures(): CostEstimates {
+	estimates(): CostEstimates {
 		this.cached ??= this.compute();
 		return this.cached;
 	}
 
-	firstEvent(seen: FirstEventObservation): void {
-		const own = effectiveTokens(seen.promptTokens);
-		if (seen.aheadTokens > own) {
-			// What others' prompts cost is known too roughly: they may be overtaken, or read already.
+	recordFirstEvent(observation: FirstEventObservation): void {
+		const ownTokens = effectiveTokens(observation.promptTokens);
+		if (observation.aheadTokens > ownTokens) {
+			// The cost of queued prompts is uncertain: they may be overtaken, or read already.
 			return;
 		}
 		this.observations++;
-		const tokens = own + seen.aheadTokens;
-		if (seen.copiedTokens === 0) {
-			this.reading.add(tokens, seen.delayMs, this.toldSums.reading);
+		const tokens = ownTokens + observation.aheadTokens;
+		if (observation.copiedTokens === 0) {
+			this.reading.add(tokens, observation.delayMs, this.totalPeerSums.reading);
 		} else {
-			const { readMsPerToken, firstEventOverheadMs: firstMs } = this.figures();
-			const copyMs = seen.delayMs - firstMs - tokens * readMsPerToken;
-			this.copying.add(seen.copiedTokens, copyMs, this.toldSums.copying);
+			const { readMsPerToken, firstEventOverheadMs } = this.estimates();
+			const copyMs = observation.delayMs - firstEventOverheadMs - tokens * readMsPerToken;
+			this.copying.add(observation.copiedTokens, copyMs, this.totalPeerSums.copying);
 		}
 		this.cached = undefined;
 	}
 
-	pauseSeen(ms: number): void {
+	recordPause(ms: number): void {
 		this.pause.add(ms);
 		this.cached = undefined;
 	}
 
-	answerSeen(answer: CompletedAnswer): void {
-		const { events, expectedTokens, slotOccupancyMs: heldMs } = answer;
-		this.heldMs += (heldMs - this.heldMs) * heldShare;
-		const kept = Math.max(0, 1 - events / keepEvents);
-		this.events = this.events * kept + events;
-		this.expectedTokens = this.expectedTokens * kept + expectedTokens;
+	recordAnswer(answer: CompletedAnswer): void {
+		const { events, expectedTokens, slotOccupancyMs } = answer;
+		this.slotOccupancyMs += (slotOccupancyMs - this.slotOccupancyMs) * occupancyWeight;
+		const decay = Math.max(0, 1 - events / decayEvents);
+		this.events = this.events * decay + events;
+		this.expectedTokens = this.expectedTokens * decay + expectedTokens;
 		this.cached = undefined;
 	}
 
-	/** @param names VMs whose sums are added to what this VM has seen */
+	/** @param names VMs whose sums are added to those of this VM */
 	export(names: readonly string[]): CostSums {
-		const told = names.flatMap((name) => this.told.get(name) ?? []);
-		return { service: this.ref, ...sumOf([this.seen(), ...told]) };
+		const peers = names.flatMap((name) => this.peerSums.get(name) ?? []);
+		return { service: this.ref, ...sumOf([this.ownSums(), ...peers]) };
 	}
 
-	/** Whether there is anything to tell of what this VM and the named ones have seen. */
-	hasSeen(names: readonly string[]): boolean {
-		return this.observations > 0 || names.some((name) => this.told.has(name));
+	/** Whether this VM or any of the named ones has observations. */
+	hasObservations(names: readonly string[]): boolean {
+		return this.observations > 0 || names.some((name) => this.peerSums.has(name));
 	}
 
-	take(from: string, sums: CostSums): void {
-		this.told.set(from, sums);
-		this.toldChanged();
+	merge(from: string, sums: CostSums): void {
+		this.peerSums.set(from, sums);
+		this.updatePeerSums();
 	}
 
-	forget(from: string): void {
-		if (this.told.delete(from)) {
-			this.toldChanged();
+	removePeer(from: string): void {
+		if (this.peerSums.delete(from)) {
+			this.updatePeerSums();
 		}
 	}
 
-	private toldChanged(): void {
-		this.toldSums = sumOf(this.told.values());
+	private updatePeerSums(): void {
+		this.totalPeerSums = sumOf(this.peerSums.values());
 		this.cached = undefined;
 	}
 
-	private seen(): CostSums {
+	private ownSums(): CostSums {
 		return {
 			service: this.ref,
 			reading: this.reading.sums,
@@ -203,99 +199,104 @@
 	}
 
 	private compute(): CostEstimates {
-		const { toldSums } = this;
-		const reading = this.reading.fit(toldSums.reading);
-		const copying = this.copying.fit(toldSums.copying);
-		const eventMs = meanOf(this.pause, toldSums);
-		const events = priorEvents + this.events + toldSums.events;
+		const { totalPeerSums } = this;
+		const reading = this.reading.fit(totalPeerSums.reading);
+		const copying = this.copying.fit(totalPeerSums.copying);
+		const eventIntervalMs = meanInterval(this.pause, totalPeerSums);
+		const events = priorEvents + this.events + totalPeerSums.events;
 		const tokens =
-			priorEvents * prior.tokensPerEvent + this.expectedTokens + toldSums.expectedTokens;
+			priorEvents * prior.tokensPerEvent + this.expectedTokens + totalPeerSums.expectedTokens;
 		return {
 			readMsPerToken: reading.slope,
 			firstEventOverheadMs: reading.base,
 			copyMsPerToken: copying.slope,
 			copySetupMs: copying.base,
-			eventIntervalMs: eventMs,
-			answerMsPerToken: (eventMs * events) / tokens,
-			slotOccupancyMs: this.heldMs,
+			eventIntervalMs,
+			answerMsPerToken: (eventIntervalMs * events) / tokens,
+			slotOccupancyMs: this.slotOccupancyMs,
 		};
 	}
 }
 
 export class CostModel {
-	/** How much faster or slower than the figures of its service each engine is. */
+	/** Pace of each engine relative to the estimates of its service. */
 	readonly paces = new EnginePaces();
 	private readonly services = new Map<number, ServiceCosts>();
 
-	/** Figures of a service, those of the prior before anything was seen. */
+	/** Estimates for a service; those of the prior before any observation. */
 	of(service: string): CostEstimates {
-		return this.costsOf(rendezvous.hashText(service)).figures();
+		return this.costsOf(rendezvous.hashText(service)).estimates();
 	}
 
-	/** Figures of one engine of a service, by its own pace now. */
+	/** Estimates for one engine of a service, scaled by its current pace. */
 	ofEngine(service: string, engine: EngineRef, now: number): CostEstimates {
 		return scaleByPace(this.of(service), this.paces.pace(service, engine, now));
 	}
 
-	/** What stands behind the figures: first events that this VM saw, and VMs that told of theirs. */
+	/** Evidence behind the estimates: first events that this VM observed, and VMs that shared theirs. */
 	sources(service: string): { observations: number; peers: number } {
 		const { observations, peers } = this.costsOf(rendezvous.hashText(service));
 		return { observations, peers };
 	}
 
-	/** The service's figures learn from it what an engine of usual pace would have taken. */
-	recordFirstEvent(service: string, seen: FirstEventObservation): void {
-		const { engine, at, delayMs } = seen;
+	/** Updates the pace of the engine, and the service's estimates by the delay of an engine of nominal pace. */
+	recordFirstEvent(service: string, observation: FirstEventObservation): void {
+		const { engine, at, delayMs } = observation;
 		const { reading } = this.paces.pace(service, engine, at);
-		this.paceSeen(service, seen);
+		this.recordPace(service, observation);
 		const costs = this.costsOf(rendezvous.hashText(service));
-		costs.firstEvent({ ...seen, delayMs: delayMs / reading });
+		costs.recordFirstEvent({ ...observation, delayMs: delayMs / reading });
 	}
 
-	/** The same for a pause. */
-	recordPause(service: string, { ms, engine, at, undisturbedMs: calmMs }: PauseObservation): void {
+	/** Updates pace and estimates like `recordFirstEvent`. */
+	recordPause(service: string, { ms, engine, at, undisturbedMs }: PauseObservation): void {
 		const costs = this.costsOf(rendezvous.hashText(service));
 		const { steps } = this.paces.pace(service, engine, at);
-		if (calmMs !== undefined) {
-			this.paces.recordPause(service, engine, calmMs / costs.figures().eventIntervalMs, at);
+		if (undisturbedMs !== undefined) {
+			this.paces.recordPause(
+				service,
+				engine,
+				undisturbedMs / costs.estimates().eventIntervalMs,
+				at,
+			);
 		}
-		costs.pauseSeen(ms / steps);
+		costs.recordPause(ms / steps);
 	}
 
 	recordAnswer(service: string, answer: CompletedAnswer): void {
-		this.costsOf(rendezvous.hashText(service)).answerSeen(answer);
+		this.costsOf(rendezvous.hashText(service)).recordAnswer(answer);
 	}
 
-	/** What this VM has seen itself, and what the named ones told. */
+	/** @param names VMs whose sums are added to those of this VM */
 	export(names: readonly string[]): CostSums[] {
 		return [...this.services.values()]
-			.filter((costs) => costs.hasSeen(names))
+			.filter((costs) => costs.hasObservations(names))
 			.map((costs) => costs.export(names));
 	}
 
-	/** What another VM tells, in place of what it told before. */
-	merge(from: string, told: readonly CostSums[]): void {
-		for (const sums of told) {
-			this.costsOf(sums.service).take(from, sums);
+	/** Replaces the sums that another VM sent before. */
+	merge(from: string, received: readonly CostSums[]): void {
+		for (const sums of received) {
+			this.costsOf(sums.service).merge(from, sums);
 		}
 	}
 
-	/** Another VM no longer tells anything: others speak for what it has seen. Speeds that it told fade by themselves. */
+	/** Drops the sums of another VM. The engine paces that it sent decay on their own. */
 	removePeer(from: string): void {
 		for (const costs of this.services.values()) {
-			costs.forget(from);
+			costs.removePeer(from);
 		}
 	}
 
-	private paceSeen(service: string, seen: FirstEventObservation): void {
-		const { engine, at, delayMs, promptTokens, aheadTokens, copiedTokens, isQueued } = seen;
+	private recordPace(service: string, observation: FirstEventObservation): void {
+		const { engine, at, delayMs, promptTokens, aheadTokens, copiedTokens, isQueued } = observation;
 		if (isQueued || copiedTokens > 0) {
 			return;
 		}
 		const costs = this.of(service);
 		const ownMs = costs.firstEventOverheadMs + readingMs(costs, promptTokens);
 		const expectedMs = ownMs + aheadTokens * costs.readMsPerToken;
-		// What others' prompts cost is known roughly.
+		// The more of the delay is due to queued prompts, the less the observation weighs.
 		this.paces.recordFirstEvent(service, engine, delayMs / expectedMs, ownMs / expectedMs, at);
 	}
 
@@ -310,11 +311,17 @@
 }
 
 function line(base: number, slope: number) {
-	return { base, slope, observations: priorObservations, at: priorTokens, unit: unitTokens };
+	return {
+		base,
+		slope,
+		observations: priorObservations,
+		referenceX: priorTokens,
+		noiseFloor: noiseFloorTokens,
+	};
 }
 
-function noCosts(): Omit<CostSums, 'service'> {
-	const pause = { eventMs: 0, eventWeight: 0 };
+function emptyCostSums(): Omit<CostSums, 'service'> {
+	const pause = { eventIntervalMs: 0, eventWeight: 0 };
 	return {
 		reading: emptyLineSums(),
 		copying: emptyLineSums(),
@@ -325,7 +332,7 @@
 }
 
 function sumOf(all: Iterable<CostSums>): Omit<CostSums, 'service'> {
-	const sum = noCosts();
+	const sum = emptyCostSums();
 	for (const one of all) {
 		addLineSums(sum.reading, one.reading);
 		addLineSums(sum.copying, one.copying);
@@ -338,9 +345,12 @@
 	return sum;
 }
 
-/** Of this VM's pause and those told, each by the events behind it. */
-function meanOf(own: QuantileEstimator, told: { eventMs: number; eventWeight: number }): number {
+/** Mean of this VM's pause and those of its peers, weighted by events. */
+function meanInterval(
+	own: QuantileEstimator,
+	peers: { eventIntervalMs: number; eventWeight: number },
+): number {
 	const ownWeight = Math.max(1, own.weight);
-	const sum = own.value * ownWeight + told.eventMs * told.eventWeight;
-	return sum / (ownWeight + told.eventWeight);
+	const sum = own.value * ownWeight + peers.eventIntervalMs * peers.eventWeight;
+	return sum / (ownWeight + peers.eventWeight);
 }
--- a/src/core/engines/engine-directory.ts
+++ b/src/core/engines/engine-directory.ts
@@ -1,6 +1,6 @@
 /**
- * All engines, as their registrations in the store tell. A store that was away may have lost
- * registrations of engines that live: those stay usable for a moment after its return.
+ * Directory of all engines, built from their registrations in the store. After a store outage, engines whose
+ * registration is missing stay usable for a grace period, since live engines register again.
  * @module
  */
 import type { Clock, Log } from '../definitions.js';
@@ -13,9 +13,9 @@
 import { PastIncarnations } from './past-incarnations.js';
 import type { EngineRegistration } from './types.js';
 
-/** Lapsed registrations are back within about 2 s of the store's return, if the engine lives. */
-const returnMs = 1900;
-/** What one VM tells another of all engines: all ids, and the registrations that changed. */
+/** Grace period for missing registrations after a store outage; live engines register again within about 2 s. */
+const reregistrationGraceMs = 1900;
+/** Copy of the directory for a peer, as JSON: all ids, and the registrations that changed. */
 interface DirectoryCopy {
 	revision: number;
 	ids: string[];
@@ -27,41 +27,40 @@
 	log: Log;
 	decode: (key: string, value: string) => EngineRegistration;
 	idOf: (key: string) => string;
-	/** No engine listens at this address any more. */
+	/** Called when no registered engine uses an address any more. */
 	onAddressUnused: (address: string) => void;
 	onRemoved: (engine: Engine) => void;
-	/** What registrations say changed. */
+	/** Called when the content of a registration changed. */
 	onChanged: () => void;
-	/** All registrations were read, from the store or a peer. */
+	/** Called when all registrations were loaded, from the store or a peer. */
 	onLoaded: () => void;
 }
 
 export class EngineDirectory implements PrefixListener {
 	private readonly engines = new Map<string, Engine>();
-	private readonly ofService = new Map<string, Engine[]>();
-	/** Registrations as the store holds them, for peers that it turns away. */
+	private readonly byService = new Map<string, Engine[]>();
+	/** Registrations as stored, for peers that cannot read the store. */
 	private readonly items = new Map<string, StoreItem>();
-	/** Registrations that could not be read, by id, with their revision. */
-	private readonly unreadable = new Map<string, number>();
-	/** Newest revision of the store that the directory shows. */
-	private shownRevision = 0;
-	private readonly starts: PastIncarnations;
+	/** Revisions of the registrations that could not be decoded, by id. */
+	private readonly undecodable = new Map<string, number>();
+	private appliedRevision = 0;
+	private readonly incarnations: PastIncarnations;
 	private contentDigest = 0;
-	/** Hashes of what the registrations say, by id. */
-	private readonly contents = new Map<string, number>();
-	private wasRead = false;
-	private storeLost = false;
-	private storeBackAt = Number.NEGATIVE_INFINITY;
+	/** Hashes of the decoded registrations, by id. */
+	private readonly contentHashes = new Map<string, number>();
+	private isLoaded = false;
+	private isStoreLost = false;
+	private storeRestoredAt = Number.NEGATIVE_INFINITY;
 
 	constructor(private readonly opts: EngineDirectoryOptions) {
-		this.starts = new PastIncarnations(opts.clock, opts.log);
+		this.incarnations = new PastIncarnations(opts.clock, opts.log);
 	}
 
 	get(id: string): Engine | undefined {
 		return this.engines.get(id);
 	}
 
-	/** The engine that messages mean. */
+	/** The engine that a reference in a message names. */
 	findByRef(ref: EngineRef): Engine | undefined {
 		return [...this.engines.values()].find((engine) => engine.ref === ref);
 	}
@@ -70,51 +69,51 @@
 		return this.engines.values();
 	}
 
-	/** Engines of a service that may be given new work now, by id; health is not looked at. */
+	/** Engines of a service that accept new work now, sorted by id and regardless of health. */
 	eligible(service: string): Engine[] {
 		const now = this.opts.clock.sinceBoot();
-		return this.present(service).filter(({ notices }) => notices.backOffLeftMs(now) === 0);
+		return this.accepting(service).filter(({ notices }) => notices.backOffLeftMs(now) === 0);
 	}
 
-	/** For how long no engine of a service may be given work because all rest, in milliseconds; 0 when it has none. */
+	/** Milliseconds until the first engine of a service ends its back-off; 0 when one accepts work or there is none. */
 	backOffLeftMs(service: string): number {
 		const now = this.opts.clock.sinceBoot();
-		const left = this.present(service).map(({ notices }) => notices.backOffLeftMs(now));
+		const left = this.accepting(service).map(({ notices }) => notices.backOffLeftMs(now));
 		return left.length === 0 ? 0 : Math.min(...left);
 	}
 
-	/** Those that do not leave. */
-	private present(service: string): Engine[] {
+	/** Eligible engines of a service, including those that back off. */
+	private accepting(service: string): Engine[] {
 		const now = this.opts.clock.monotonic();
-		return (this.ofService.get(service) ?? []).filter((engine) => engine.isEligible(now));
+		return (this.byService.get(service) ?? []).filter((engine) => engine.isEligible(now));
 	}
 
-	/** Whether all registrations were read once, from the store or a peer. */
+	/** Whether all registrations were loaded at least once, from the store or a peer. */
 	get hasLoaded(): boolean {
-		return this.wasRead;
+		return this.isLoaded;
 	}
 
-	/** Newest revision of the store that the directory shows. */
+	/** Newest store revision that the directory reflects. */
 	get revision(): number {
-		return this.shownRevision;
+		return this.appliedRevision;
 	}
 
 	/**
-	 * Stands for what all registrations say; directories that say the same have equal digests. Engines write theirs again with each
-	 * heartbeat: that alone makes no VM fetch them.
+	 * Digest of the content of all registrations; equal directories have equal digests. Heartbeats that rewrite a registration
+	 * unchanged keep it, so that peers need not fetch the directory again.
 	 */
 	get digest(): number {
 		return this.contentDigest;
 	}
 
 	/**
-	 * The directory as text for a peer.
-	 * @param since revision that the peer's own copy shows; registrations that are older are left out
+	 * Serializes the directory for a peer.
+	 * @param since revision of the peer's own copy; older registrations are omitted
 	 */
 	export(since: number): string {
 		const items = [...this.items.values()].filter((item) => item.revision > since);
 		const copy: DirectoryCopy = {
-			revision: this.shownRevision,
+			revision: this.appliedRevision,
 			ids: [...this.items.keys()],
 			items,
 		};
@@ -122,48 +121,48 @@
 	}
 
 	/**
-	 * Takes in what a peer's directory shows, while this VM does not read the store itself.
-	 * @returns whether the copy names no registration that is neither in it nor known here
-	 * @throws Error when the text is no copy of a directory
+	 * Applies a peer's copy of the directory, while this VM does not read the store itself.
+	 * @returns false when the copy omits a registration that is not known here, which leaves the directory unchanged
+	 * @throws Error when the text is no valid copy
 	 */
 	applyCopy(text: string): boolean {
 		const copy = JSON.parse(text) as DirectoryCopy;
-		if (copy.revision < this.shownRevision || copy.ids.length === 0) {
+		if (copy.revision < this.appliedRevision || copy.ids.length === 0) {
 			return true;
 		}
-		const given = new Map(copy.items.map((item) => [this.opts.idOf(item.key), item]));
-		const known = copy.ids.flatMap((id) => given.get(id) ?? this.items.get(id) ?? []);
-		if (known.length < copy.ids.length) {
+		const included = new Map(copy.items.map((item) => [this.opts.idOf(item.key), item]));
+		const items = copy.ids.flatMap((id) => included.get(id) ?? this.items.get(id) ?? []);
+		if (items.length < copy.ids.length) {
 			return false;
 		}
-		this.shownRevision = copy.revision;
-		// The store served that peer all along: what is missing there has ended.
-		this.storeLost = false;
-		this.storeBackAt = Number.NEGATIVE_INFINITY;
-		this.replaceAll(known, this.opts.clock.monotonic());
+		this.appliedRevision = copy.revision;
+		// The peer has current data, so a registration missing there has ended: no grace period.
+		this.isStoreLost = false;
+		this.storeRestoredAt = Number.NEGATIVE_INFINITY;
+		this.replaceAll(items, this.opts.clock.monotonic());
 		return true;
 	}
 
 	applySnapshot(items: readonly StoreItem[], _readAt: number, revision: number): void {
 		const now = this.opts.clock.monotonic();
-		if (this.storeLost) {
-			this.storeLost = false;
-			this.storeBackAt = now;
+		if (this.isStoreLost) {
+			this.isStoreLost = false;
+			this.storeRestoredAt = now;
 		}
-		this.shownRevision = revision;
+		this.appliedRevision = revision;
 		this.replaceAll(items, now);
 	}
 
 	private replaceAll(items: readonly StoreItem[], now: number): void {
-		this.wasRead = true;
-		const seen = new Set<string>();
+		this.isLoaded = true;
+		const listed = new Set<string>();
 		for (const item of items) {
-			seen.add(this.opts.idOf(item.key));
+			listed.add(this.opts.idOf(item.key));
 			this.put(item);
 		}
 		for (const id of [...this.engines.keys()]) {
-			if (!seen.has(id)) {
-				this.missing(id, now);
+			if (!listed.has(id)) {
+				this.handleMissing(id, now);
 			}
 		}
 		this.opts.onLoaded();
@@ -171,13 +170,13 @@
 
 	applyChanges(changes: StoreChanges): void {
 		const before = this.contentDigest;
-		this.shownRevision = changes.revision;
+		this.appliedRevision = changes.revision;
 		for (const event of changes.events) {
 			if (event.kind === 'put') {
 				this.put(event.item);
-				this.isWrittenNow(event.item);
+				this.confirm(event.item);
 			} else {
-				this.gone(this.opts.idOf(event.key));
+				this.handleEnded(this.opts.idOf(event.key));
 			}
 		}
 		if (this.contentDigest !== before) {
@@ -186,72 +185,72 @@
 	}
 
 	handleStoreLost(): void {
-		this.storeLost = true;
+		this.isStoreLost = true;
 	}
 
-	/** Forgets engines whose registration did not come back, and what engines said long ago; called several times a second. */
+	/** Removes engines whose grace period ended and expired notices; called several times a second. */
 	sweep(): void {
-		this.starts.sweep();
+		this.incarnations.sweep();
 		const now = this.opts.clock.monotonic();
 		for (const engine of [...this.engines.values()]) {
 			if (engine.missingUntil !== undefined && now >= engine.missingUntil) {
-				this.remove(engine, 'registration did not come back');
+				this.remove(engine, 'registration still missing after store outage');
 			}
 		}
 	}
 
-	/** A change that a watch tells was written in the store's era: the engine lives. */
-	private isWrittenNow(item: StoreItem): void {
+	/** A watched write happened in the current era of the store, which proves that the engine is alive. */
+	private confirm(item: StoreItem): void {
 		const engine = this.engines.get(this.opts.idOf(item.key));
 		if (engine) {
 			engine.unconfirmedUntil = undefined;
 		}
 	}
 
-	/** A start that leaves is ready again only in an older copy of the store. */
-	private keepLeaving(
+	/** An incarnation never stops draining; a registration that says otherwise is from an older copy of the store. */
+	private keepDraining(
 		known: Engine,
-		entry: EngineRegistration,
+		registration: EngineRegistration,
 		before: number,
 		revision: number,
 	): void {
-		const isOlder =
-			known.registration.draining && !entry.draining && eraOf(before) < eraOf(revision);
-		if (isOlder) {
+		const isOlderCopy =
+			known.registration.draining && !registration.draining && eraOf(before) < eraOf(revision);
+		if (isOlderCopy) {
 			known.notices.apply({ isDraining: true }, this.opts.clock.sinceBoot());
 			this.opts.log.warn('engine.kept-leaving', { engine: known.id });
 		}
 	}
 
 	private put(item: StoreItem): void {
-		if (this.isShown(item)) {
+		if (this.isCurrent(item)) {
 			return;
 		}
-		const entry = this.decode(item);
-		if (!entry) {
+		const registration = this.decode(item);
+		if (!registration) {
 			return;
 		}
-		const known = this.engines.get(entry.id);
-		const isSame = known?.isSameIncarnation(entry) ?? false;
+		const known = this.engines.get(registration.id);
+		const isSame = known?.isSameIncarnation(registration) ?? false;
 		if (known && !isSame) {
-			this.remove(known, 'it began again');
+			this.remove(known, 'engine restarted');
 		}
-		const before = this.items.get(entry.id)?.revision ?? 0;
-		this.setItem(entry, item);
+		const before = this.items.get(registration.id)?.revision ?? 0;
+		this.setItem(registration, item);
 		if (!known || !isSame) {
-			this.add(this.starts.createEngine(entry, item.revision), item.revision);
+			this.add(this.incarnations.createEngine(registration, item.revision), item.revision);
 			return;
 		}
-		this.keepLeaving(known, entry, before, item.revision);
-		if (entry.draining !== known.registration.draining) {
-			this.logState(entry, item.revision);
+		this.keepDraining(known, registration, before, item.revision);
+		if (registration.draining !== known.registration.draining) {
+			this.logState(registration, item.revision);
 		}
-		known.registration = entry;
+		known.registration = registration;
 		known.missingUntil = undefined;
 	}
 
-	/** The registration was taken in before, as it stands. */
-	private isShown({ key, revision }: StoreItem): boolean {
+	/** Whether this revision of the registration was applied before; if so, the engine is no longer missing. */
+	private isCurrent({ key, revision }: StoreItem): boolean {
 		const id = this.opts.idOf(key);
 		const known = this.engines.get(id);
 		if (!known || this.items.get(id)?.revision !== revision) {
@@ -261,16 +260,16 @@
 		return true;
 	}
 
-	/** What is no engine's registration names no engine, whoever wrote it; it is logged once. */
+	/** Decodes a registration; one that is invalid removes its engine and is logged once per revision. */
 	private decode(item: StoreItem): EngineRegistration | undefined {
 		const id = this.opts.idOf(item.key);
 		try {
-			const entry = this.opts.decode(item.key, item.value);
-			this.unreadable.delete(id);
-			return entry;
+			const registration = this.opts.decode(item.key, item.value);
+			this.undecodable.delete(id);
+			return registration;
 		} catch (err) {
-			if (this.unreadable.get(id) !== item.revision) {
-				this.unreadable.set(id, item.revision);
+			if (this.undecodable.get(id) !== item.revision) {
+				this.undecodable.set(id, item.revision);
 				const error = (err as Error).message;
 				const revision = storedRevision(item.revision);
 				this.opts.log.warn('engine.unreadable', { key: item.key, revision, error });
@@ -278,7 +277,7 @@
 		}
 		const known = this.engines.get(id);
 		if (known) {
-			this.remove(known, 'its registration cannot be read');
+			this.remove(known, 'registration is invalid');
 		}
 		return undefined;
 	}
@@ -286,30 +285,30 @@
 	private add(engine: Engine, revision: number): void {
 		this.engines.set(engine.id, engine);
 		const { service } = engine.registration;
-		const list = [...(this.ofService.get(service) ?? []), engine];
+		const list = [...(this.byService.get(service) ?? []), engine];
 		list.sort((a, b) => (a.id < b.id ? -1 : 1));
-		this.ofService.set(service, list);
+		this.byService.set(service, list);
 		this.logState(engine.registration, revision);
 	}
 
-	/** The store says that the registration ended: it was there to see it. */
-	private gone(id: string): void {
-		this.unreadable.delete(id);
+	/** The store reported the end of the registration, so there is no grace period. */
+	private handleEnded(id: string): void {
+		this.undecodable.delete(id);
 		const engine = this.engines.get(id);
 		if (engine) {
 			this.remove(engine, 'registration ended');
 		}
 	}
 
-	/** The registration is not there; after an outage of the store it may still come back. */
-	private missing(id: string, now: number): void {
+	/** Removes an engine that is not listed, unless the store was just restored and may get the registration back. */
+	private handleMissing(id: string, now: number): void {
 		const engine = this.engines.get(id);
 		if (!engine) {
 			return;
 		}
-		const mayReturn = now < this.storeBackAt + returnMs && !engine.isDraining;
+		const mayReturn = now < this.storeRestoredAt + reregistrationGraceMs && !engine.isDraining;
 		if (mayReturn) {
-			engine.missingUntil ??= this.storeBackAt + returnMs;
+			engine.missingUntil ??= this.storeRestoredAt + reregistrationGraceMs;
 		} else {
 			this.remove(engine, 'registration ended');
 		}
@@ -318,11 +317,11 @@
 	private remove(engine: Engine, reason: string): void {
 		const { id, service, address } = engine.registration;
 		engine.isRemoved = true;
-		this.starts.recordEnd(engine, eraOf(this.shownRevision));
+		this.incarnations.recordEnd(engine, eraOf(this.appliedRevision));
 		this.engines.delete(id);
 		this.removeItem(id);
-		const left = (this.ofService.get(service) ?? []).filter((other) => other !== engine);
-		this.ofService.set(service, left);
+		const others = (this.byService.get(service) ?? []).filter((other) => other !== engine);
+		this.byService.set(service, others);
 		this.opts.onRemoved(engine);
 		this.opts.log.info('engine.gone', { engine: id, service, reason });
 		if (![...this.engines.values()].some((other) => other.registration.address === address)) {
@@ -330,33 +329,33 @@
 		}
 	}
 
-	private setItem(entry: EngineRegistration, item: StoreItem): void {
-		this.items.set(entry.id, item);
-		this.setContent(entry.id, rendezvous.hashText(JSON.stringify(entry)));
+	private setItem(registration: EngineRegistration, item: StoreItem): void {
+		this.items.set(registration.id, item);
+		this.setContentHash(registration.id, rendezvous.hashText(JSON.stringify(registration)));
 	}
 
 	private removeItem(id: string): void {
 		this.items.delete(id);
-		this.setContent(id, 0);
+		this.setContentHash(id, 0);
 	}
 
-	/** @param hash of what the registration says; 0 when there is none */
-	private setContent(id: string, hash: number): void {
-		this.contentDigest ^= (this.contents.get(id) ?? 0) ^ hash;
+	/** @param hash of the decoded registration; 0 when there is none */
+	private setContentHash(id: string, hash: number): void {
+		this.contentDigest ^= (this.contentHashes.get(id) ?? 0) ^ hash;
 		if (hash === 0) {
-			this.contents.delete(id);
+			this.contentHashes.delete(id);
 		} else {
-			this.contents.set(id, hash);
+			this.contentHashes.set(id, hash);
 		}
 	}
 
-	private logState(entry: EngineRegistration, revision: number): void {
+	private logState(registration: EngineRegistration, revision: number): void {
 		this.opts.log.info('engine.seen', {
-			engine: entry.id,
-			service: entry.service,
-			address: entry.address,
-			domain: entry.domain,
-			draining: entry.draining,
+			engine: registration.id,
+			service: registration.service,
+			address: registration.address,
+			domain: registration.domain,
+			draining: registration.draining,
 			revision: storedRevision(revision),
 		});
 	}
--- a/src/core/engines/engine-health.ts
+++ b/src/core/engines/engine-health.ts
@@ -1,106 +1,110 @@
 /**
- * What the answers of one engine say about it: whether it may be given work.
+ * Health of one engine as this VM observes it: a circuit breaker over failures, and detection of silence.
  * @module
  */
 
-/** Failures in a row after which the engine is closed. */
-const failuresToClose = 3;
-/** First and longest time that it stays closed before one request tries it, in milliseconds. */
-const firstCloseMs = 500;
-const maxCloseMs = 4000;
-/** An engine that rejects as often in a row is passed over for so long, in milliseconds: its queue drains faster. */
-const busyCloseMs = 200;
-/** An engine with requests under way that sends nothing for so long is not chosen, in milliseconds. */
+/** Consecutive failures that open the circuit. */
+const failuresToOpen = 3;
+/** Initial and maximum time that the circuit stays open before a trial request, in milliseconds. */
+const initialOpenMs = 500;
+const maxOpenMs = 4000;
+/** How long an engine that keeps rejecting requests is skipped, in milliseconds: its queue drains quickly. */
+const rejectionOpenMs = 200;
+/** An engine with requests in flight counts as silent after this time without any bytes, in milliseconds. */
 const silenceMs = 600;
-/** Reading prompts explains silence for so many times as long as it should take. */
+/** Silence is excused for this multiple of the estimated reading time of the prompts in flight. */
 const readingMargin = 2;
 
 export class EngineHealth {
-	private failuresInRow = 0;
-	private closedUntil = 0;
-	private closeMs = firstCloseMs;
-	private trial = false;
-	/** Something is under way and nothing was heard since. */
+	private consecutiveFailures = 0;
+	private openUntil = 0;
+	private openMs = initialOpenMs;
+	/** A trial request is in flight: the circuit is half-open. */
+	private isTrialRunning = false;
+	/** Since when requests are in flight without any bytes received. */
 	private awaitingSince?: number;
 	private running = 0;
-	/** What reading the prompts under way should take, in milliseconds. */
-	private readingMsAwaited = 0;
+	/** Estimated reading time of the prompts in flight, in milliseconds. */
+	private pendingReadingMs = 0;
 
-	/** Whether it may be given a request now. */
+	/** Whether the engine may be given a request now. */
 	isAvailable(now: number): boolean {
 		return !this.isCircuitOpen(now) && !this.isSilent(now);
 	}
 
 	isCircuitOpen(now: number): boolean {
-		return now < this.closedUntil || this.trial;
+		return now < this.openUntil || this.isTrialRunning;
 	}
 
 	isSilent(now: number): boolean {
-		const allowed = silenceMs + this.readingMsAwaited * readingMargin;
-		return this.awaitingSince !== undefined && now - this.awaitingSince > allowed;
+		const allowedMs = silenceMs + this.pendingReadingMs * readingMargin;
+		return this.awaitingSince !== undefined && now - this.awaitingSince > allowedMs;
 	}
 
-	/**
-	 * A request left for it.
-	 * @param readingMs what reading its prompt should take
-	 */
+	/** @param readingMs estimated time to read the prompt of the request */
 	recordSent(now: number, readingMs: number): void {
 		this.running++;
-		this.readingMsAwaited += readingMs;
+		this.pendingReadingMs += readingMs;
 		this.awaitingSince ??= now;
-		this.trial = this.closedUntil > 0;
+		this.isTrialRunning = this.openUntil > 0;
 	}
 
-	/** Bytes came. */
+	/** Records that bytes arrived from the engine. */
 	recordActivity(now: number): void {
 		this.awaitingSince = this.running > 0 ? now : undefined;
 	}
 
-	/** A request that was sent has ended, however; `readingMs` as it was when it was sent. */
+	/**
+	 * Records that a request ended, whatever its outcome.
+	 * @param readingMs as passed to `recordSent`
+	 */
 	recordEnd(readingMs: number): void {
 		this.running--;
-		this.readingMsAwaited -= readingMs;
-		// A trial that ended without a verdict, such as by its caller leaving, may be repeated.
-		this.trial = false;
+		this.pendingReadingMs -= readingMs;
+		// An inconclusive trial, such as one whose caller left, may be repeated.
+		this.isTrialRunning = false;
 		if (this.running === 0) {
 			this.awaitingSince = undefined;
 		}
 	}
 
 	recordSuccess(): void {
-		this.failuresInRow = 0;
-		this.closedUntil = 0;
-		this.closeMs = firstCloseMs;
-		this.trial = false;
+		this.consecutiveFailures = 0;
+		this.openUntil = 0;
+		this.openMs = initialOpenMs;
+		this.isTrialRunning = false;
 	}
 
-	/** @returns true when the engine is closed by this failure */
+	/** @returns whether this failure opened the circuit */
 	recordFailure(now: number): boolean {
-		this.failuresInRow++;
-		this.trial = false;
-		return this.failuresInRow >= failuresToClose && this.close(now);
+		this.consecutiveFailures++;
+		this.isTrialRunning = false;
+		return this.consecutiveFailures >= failuresToOpen && this.open(now);
 	}
 
-	/** It says that it is too busy; it did not run the request. */
+	/** Records that the engine was too busy and did not run the request. */
 	recordRejection(now: number): void {
-		this.failuresInRow++;
-		this.trial = false;
-		if (this.failuresInRow >= failuresToClose) {
-			this.closedUntil = Math.max(this.closedUntil, now + busyCloseMs);
+		this.consecutiveFailures++;
+		this.isTrialRunning = false;
+		if (this.consecutiveFailures >= failuresToOpen) {
+			this.openUntil = Math.max(this.openUntil, now + rejectionOpenMs);
 		}
 	}
 
-	/** Nothing listens at its address, or nothing answers there. */
+	/**
+	 * Records that the engine could not be reached, which opens the circuit at once.
+	 * @returns whether the circuit was not open before
+	 */
 	recordUnreachable(now: number): boolean {
-		this.failuresInRow++;
-		this.trial = false;
-		return this.close(now);
+		this.consecutiveFailures++;
+		this.isTrialRunning = false;
+		return this.open(now);
 	}
 
-	private close(now: number): boolean {
-		const wasClosed = now < this.closedUntil;
-		this.closedUntil = now + this.closeMs;
-		this.closeMs = Math.min(this.closeMs * 2, maxCloseMs);
-		return !wasClosed;
+	private open(now: number): boolean {
+		const wasOpen = now < this.openUntil;
+		this.openUntil = now + this.openMs;
+		this.openMs = Math.min(this.openMs * 2, maxOpenMs);
+		return !wasOpen;
 	}
 }
--- a/src/core/engines/engine-notices.ts
+++ b/src/core/engines/engine-notices.ts
@@ -1,53 +1,50 @@
 /**
- * What one start of an engine says of itself in the heads of its answers. It is the engine's own and newest word: its
- * registration in the store may be seconds behind, or missing, while the engine goes on answering.
+ * State that one incarnation of an engine announces in the headers of its answers. It takes precedence over the engine's
+ * registration in the store, which may be stale or missing.
  * @module
  */
 
-/** What the head of one answer says of its engine. */
+/** Engine state announced in the headers of one answer. */
 export interface EngineNotice {
-	/** It serves what it has and ends soon. */
+	/** The engine finishes its requests and then stops. */
 	isDraining: boolean;
-	/** It wants no request from this VM for so many seconds; undefined when it did not say so. */
+	/** Seconds for which the engine wants no request from this VM; undefined when not announced. */
 	backOffS?: number;
-	/** Requests a second that it takes from all VMs together; undefined when it named no limit. */
+	/** Requests a second that the engine accepts from all VMs together; undefined when it announced no limit. */
 	limitPerS?: number;
 }
 
 export class EngineNotices {
-	private leaving = false;
-	/** In milliseconds since boot, which run on while the VM is suspended. */
-	private restUntil = Number.NEGATIVE_INFINITY;
-	/** Named last, so that a change is told; what the VMs go by is known to the fleet. */
+	private draining = false;
+	/** In milliseconds since boot, which keep counting while the VM is suspended. */
+	private backOffUntil = Number.NEGATIVE_INFINITY;
+	/** Last announced limit, kept to detect changes; the limit in force belongs to the whole fleet. */
 	private limitPerS?: number;
 
-	/** An engine never takes back that it leaves; only a later start of it is ready again. */
+	/** Never reset: only a later incarnation accepts work again. */
 	get isDraining(): boolean {
-		return this.leaving;
+		return this.draining;
 	}
 
 	/**
 	 * @param now milliseconds since boot
-	 * @returns whether it tells anything new
+	 * @returns whether the notice changes anything
 	 */
-	apply(
-		{ isDraining: leaving, backOffS: restS = 0, limitPerS }: EngineNotice,
-		now: number,
-	): boolean {
-		const restUntil = now + restS * 1000;
-		const isLeavingNew = leaving && !this.leaving;
-		const isRestNew = restS > 0 && restUntil > this.restUntil;
-		const isNew = isLeavingNew || isRestNew || limitPerS !== this.limitPerS;
+	apply({ isDraining, backOffS = 0, limitPerS }: EngineNotice, now: number): boolean {
+		const backOffUntil = now + backOffS * 1000;
+		const isDrainingNew = isDraining && !this.draining;
+		const isBackOffNew = backOffS > 0 && backOffUntil > this.backOffUntil;
+		const isNew = isDrainingNew || isBackOffNew || limitPerS !== this.limitPerS;
 		this.limitPerS = limitPerS;
-		this.leaving ||= leaving;
-		if (restS > 0) {
-			this.restUntil = Math.max(this.restUntil, restUntil);
+		this.draining ||= isDraining;
+		if (backOffS > 0) {
+			this.backOffUntil = Math.max(this.backOffUntil, backOffUntil);
 		}
 		return isNew;
 	}
 
-	/** For how long it still wants no request, in milliseconds; 0 when it takes some. */
+	/** Milliseconds until the engine accepts requests again; 0 when it accepts them now. */
 	backOffLeftMs(now: number): number {
-		return Math.max(0, this.restUntil - now);
+		return Math.max(0, this.backOffUntil - now);
 	}
 }
--- a/src/core/engines/engine-pace.ts
+++ b/src/core/engines/engine-pace.ts
@@ -1,191 +1,194 @@
 /**
- * The pace of one engine: how many times as long as its service's figures say work takes there. It is kept in two
- * memories of the same observations. The steady one weighs half a minute and is hardly moved by noise of a second; the
- * quick one weighs the last second, and decides where it differs from the steady one by more than such noise. For that time
- * the steady one takes in nothing.
+ * Pace of one engine: how much longer its work takes than its service's estimates say. Combines two moving averages of the
+ * same observations: a slow one over half a minute, which is robust against noise, and a fast one over the last second, which
+ * takes over while it deviates by more than noise. Meanwhile the slow average is frozen.
  * @module
  */
 import type { PaceKind, PaceSum, PaceSums } from './pace-sums.js';
 import { DecayingSums, decayMs, emptyPaceSums, minWeight, paceKinds } from './pace-sums.js';
 
-/** Time after which an observation counts a third in the steady memory, in milliseconds. */
-const steadyMs = 30_000;
+/** Time constant of the slow average, in milliseconds. */
+const slowDecayMs = 30_000;
 /**
- * What an engine is expected to be counts as so many observations of it. Waiting that no news told of is in the times to first events,
- * so that more of them are needed.
+ * Weight of the expected pace in the slow average, in observations. Times to first events include queueing that gossip has not
+ * reported yet, so they need more evidence.
  */
-const priorWeights: Readonly<Record<PaceKind, number>> = { reading: 30, steps: 3 };
-/** What comes in at once moves the steady memory as if it were at most, and at least, so many times its figure. */
-const steadyBound = Math.log(1.5);
+const slowPriors: Readonly<Record<PaceKind, number>> = { reading: 30, steps: 3 };
+/** Limits how far the mean of new observations lies from the slow average, as a logarithm of the factor. */
+const maxSlowDeviation = Math.log(1.5);
+/** The fast average takes over when it deviates from the slow one by more than this, as a logarithm of the factor. */
+const deviationThreshold = Math.log(2);
 /**
- * The quick memory decides from twice the steady pace on, either way: a prompt that was to be read in half of its target is late
- * then.
+ * Weight of the slow average in the fast one, in observations: more for first events, which are few and noisy. As observations
+ * decay, an engine that gets no work returns to its slow average and is tried again.
  */
-const turnedFactor = Math.log(2);
+const fastPriors: Readonly<Record<PaceKind, number>> = { reading: 3, steps: 1 };
+/** A deviation that lasts longer than this is permanent and updates the slow average, in milliseconds. */
+const maxDeviationMs = 10_000;
 /**
- * The steady pace counts as so many observations of the quick memory: more for the few and noisy first events. An engine that gets
- * no work is tried again as what was seen of it fades.
- */
-const quickPriors: Readonly<Record<PaceKind, number>> = { reading: 3, steps: 1 };
-/** For so long the steady memory takes nothing from an engine that turned; one that stays so has changed, in milliseconds. */
-const lastingMs = 10_000;
-/**
- * An engine that turned and of which nothing new was seen for so long is thought to return to its steady pace, and by a third of the way
- * again in each such time, in milliseconds: so it gets a few requests, which show whether it did.
+ * Without new observations for this time, the pace of a deviating engine returns to the slow average, with this time constant, in
+ * milliseconds: the engine gets a few requests, which show whether it recovered.
  */
 const staleMs = 500;
-/** Observations that add less than this share to the quick memory are nothing new. */
-const leastGain = 0.05;
-/** A pace stays within this factor of the service's figures. */
-const bound = Math.log(20);
+/** Smallest relative gain in weight of the fast average that counts as new observations. */
+const minGain = 0.05;
+/** Bound of all paces, as a logarithm of the factor. */
+const maxDeviation = Math.log(20);
 
-/** Times of an engine over those that its service's figures say: 2 is half as fast. */
+/** Factors by which work takes longer than the service's estimates say: 2 is half as fast. */
 export interface Pace {
+	/** Reading of prompts, which is bound by compute. */
 	reading: number;
+	/** Steps that generate tokens, which are bound by memory bandwidth. */
 	steps: number;
 }
 
-/** That of an engine of which nothing is known. */
+/** Pace of an engine without observations. */
 export const nominalPace: Pace = { reading: 1, steps: 1 };
 
-/** Logarithms of the mean paces of a service's engines, beside which the pace of each is told. */
+/** Logarithms of the mean paces of a service's engines; the pace of each engine is relative to these. */
 export type PaceMeans = Readonly<Record<PaceKind, number>>;
 
 export class EnginePace {
-	/** What all VMs told lately and this one saw. */
+	/** Fast average: observations of all VMs. */
 	readonly recent: DecayingSums;
-	private readonly steady = emptyPaceSums();
+	private readonly slow = emptyPaceSums();
 	private at: number;
-	private settledPace = nominalPace;
-	private settledSteady = nominalPace;
-	/** Weight of the quick memory when it was last looked at, and when that was. */
-	private seenWeight = 0;
-	private seenAt: number;
-	/** When the quick memory last gained anything. */
+	private currentPace = nominalPace;
+	private currentSteadyPace = nominalPace;
+	/** Weight of the fast average at the last check, and the time of that check. */
+	private checkedWeight = 0;
+	private checkedAt: number;
+	/** When new observations last arrived. */
 	private gainedAt: number;
-	/** Since when the quick memory decides. */
-	private turnedAt?: number;
+	/** Since when the fast average deviates. */
+	private deviatingSince?: number;
 
 	/** @param now monotonic milliseconds */
 	constructor(now: number) {
 		this.recent = new DecayingSums(now);
 		this.at = now;
 		this.gainedAt = now;
-		this.seenAt = now;
+		this.checkedAt = now;
 	}
 
-	/** Takes what fades from the quick memory over into the steady one. */
+	/** Moves what decayed from the fast average into the slow one. */
 	advance(now: number, means: PaceMeans): void {
-		const passedMs = Math.max(0, now - this.at);
-		const moved = 1 - Math.exp(-passedMs / decayMs);
-		const kept = Math.exp(-passedMs / steadyMs);
+		const elapsedMs = Math.max(0, now - this.at);
+		const moved = 1 - Math.exp(-elapsedMs / decayMs);
+		const decay = Math.exp(-elapsedMs / slowDecayMs);
 		const before = this.recent.read(this.at);
-		const isPassing = this.isPassing(now);
+		const isFrozen = this.isFrozen(now);
 		for (const kind of paceKinds) {
-			if (isPassing) {
+			if (isFrozen) {
 				continue;
 			}
-			const bounded = this.bounded(kind, before[kind], means);
-			this.steady[kind].weight = this.steady[kind].weight * kept + before[kind].weight * moved;
-			this.steady[kind].sum = this.steady[kind].sum * kept + bounded * moved;
+			const clamped = this.clampSum(kind, before[kind], means);
+			this.slow[kind].weight = this.slow[kind].weight * decay + before[kind].weight * moved;
+			this.slow[kind].sum = this.slow[kind].sum * decay + clamped * moved;
 		}
 		this.at = Math.max(this.at, now);
-		this.noteGain(now);
+		this.updateGain(now);
 	}
 
-	/** Observations of both memories. */
+	/** Observations of both averages. */
 	total(now: number, means: PaceMeans): PaceSums {
 		const recent = this.recent.read(now);
-		if (this.isPassing(now)) {
-			return this.steady;
+		if (this.isFrozen(now)) {
+			return this.slow;
 		}
 		const sum = (kind: PaceKind) => ({
-			weight: this.steady[kind].weight + recent[kind].weight,
-			sum: this.steady[kind].sum + this.bounded(kind, recent[kind], means),
+			weight: this.slow[kind].weight + recent[kind].weight,
+			sum: this.slow[kind].sum + this.clampSum(kind, recent[kind], means),
 		});
 		return { reading: sum('reading'), steps: sum('steps') };
 	}
 
 	/**
-	 * Works out the paces anew.
-	 * @param recentMeans of the quick memories alone: what all engines do at once, such as in an overload, is no turn of one
+	 * Recomputes the paces.
+	 * @param recentMeans means of the fast averages: a change that all engines share, such as an overload, is no deviation
 	 */
 	refresh(now: number, means: PaceMeans, recentMeans: PaceMeans): void {
 		const total = this.total(now, means);
 		const recent = this.recent.read(now);
-		const steps = shrunk(total.steps, means.steps, priorWeights.steps) - means.steps;
-		// An engine reads at the pace of its steps as far as its prompts do not say otherwise, and turns slow in both.
-		const usual = means.reading + steps;
-		const reading = shrunk(total.reading, usual, priorWeights.reading) - means.reading;
-		const turnedSteps = turnOf('steps', recent, recentMeans.steps + steps);
-		const turnedReading = turnOf('reading', recent, recentMeans.reading + reading + turnedSteps);
-		const staying = Math.exp(-Math.max(0, now - this.gainedAt - staleMs) / staleMs);
-		const hasTurned = turnedSteps !== 0 || turnedReading !== 0;
-		this.turnedAt = hasTurned ? (this.turnedAt ?? now) : undefined;
-		this.settledSteady = paceOf(reading, steps);
-		this.settledPace = paceOf(
-			reading + (turnedSteps + turnedReading) * staying,
-			steps + turnedSteps * staying,
+		const steps = shrink(total.steps, means.steps, slowPriors.steps) - means.steps;
+		// Without evidence about its reading, an engine is expected to read at the pace of its steps.
+		const expectedReading = means.reading + steps;
+		const reading = shrink(total.reading, expectedReading, slowPriors.reading) - means.reading;
+		const stepsDeviation = deviationOf('steps', recent, recentMeans.steps + steps);
+		const readingDeviation = deviationOf(
+			'reading',
+			recent,
+			recentMeans.reading + reading + stepsDeviation,
+		);
+		const freshness = Math.exp(-Math.max(0, now - this.gainedAt - staleMs) / staleMs);
+		const isDeviating = stepsDeviation !== 0 || readingDeviation !== 0;
+		this.deviatingSince = isDeviating ? (this.deviatingSince ?? now) : undefined;
+		this.currentSteadyPace = paceOf(reading, steps);
+		this.currentPace = paceOf(
+			reading + (stepsDeviation + readingDeviation) * freshness,
+			steps + stepsDeviation * freshness,
 		);
 	}
 
-	/** Pace without what happened in the last second or two. */
+	/** Pace by the slow average alone. */
 	get steadyPace(): Pace {
-		return this.settledSteady;
+		return this.currentSteadyPace;
 	}
 
-	/** Pace by both memories. */
+	/** Pace by both averages. */
 	get pace(): Pace {
-		return this.settledPace;
+		return this.currentPace;
 	}
 
-	/** Whether the quick memory decides. */
+	/** Whether the fast average deviates and decides. */
 	get isDeviating(): boolean {
-		return this.turnedAt !== undefined;
+		return this.deviatingSince !== undefined;
 	}
 
-	/** Whether both memories are empty. */
+	/** Whether too little evidence is left to keep the engine. */
 	isNegligible(now: number): boolean {
-		const { reading, steps } = this.steady;
+		const { reading, steps } = this.slow;
 		return reading.weight + steps.weight < minWeight && this.recent.isNegligible(now);
 	}
 
-	private noteGain(now: number): void {
+	private updateGain(now: number): void {
 		const { reading, steps } = this.recent.read(now);
 		const weight = reading.weight + steps.weight;
-		const kept = this.seenWeight * Math.exp(-Math.max(0, now - this.seenAt) / decayMs);
-		if (weight - kept > weight * leastGain) {
+		const decayed = this.checkedWeight * Math.exp(-Math.max(0, now - this.checkedAt) / decayMs);
+		if (weight - decayed > weight * minGain) {
 			this.gainedAt = now;
 		}
-		this.seenWeight = weight;
-		this.seenAt = now;
+		this.checkedWeight = weight;
+		this.checkedAt = now;
 	}
 
-	/** It turned a moment ago: the steady memory keeps what it was before. */
-	private isPassing(now: number): boolean {
-		return this.turnedAt !== undefined && now - this.turnedAt < lastingMs;
+	/** Whether the slow average is frozen because the engine started to deviate recently. */
+	private isFrozen(now: number): boolean {
+		return this.deviatingSince !== undefined && now - this.deviatingSince < maxDeviationMs;
 	}
 
-	/** A sum as if its mean were within bounds of the steady figure. */
-	private bounded(kind: PaceKind, { weight, sum }: PaceSum, means: PaceMeans): number {
-		const level = shrunk(this.steady[kind], means[kind], priorWeights[kind]);
-		const least = (level - steadyBound) * weight;
-		return Math.min(Math.max(sum, least), (level + steadyBound) * weight);
+	/** The sum, with its mean limited to a range around the slow average. */
+	private clampSum(kind: PaceKind, { weight, sum }: PaceSum, means: PaceMeans): number {
+		const level = shrink(this.slow[kind], means[kind], slowPriors[kind]);
+		const min = (level - maxSlowDeviation) * weight;
+		return Math.min(Math.max(sum, min), (level + maxSlowDeviation) * weight);
 	}
 }
 
-/** Mean of a sum, drawn to what is expected while there is little evidence. */
-function shrunk({ weight, sum }: PaceSum, expected: number, count: number): number {
+/** Mean of a sum, shrunk toward the expected value by a prior of `count` observations. */
+function shrink({ weight, sum }: PaceSum, expected: number, count: number): number {
 	return (sum + expected * count) / (weight + count);
 }
 
-/** How far the quick memory moves a level; 0 where it differs by no more than noise. */
-function turnOf(kind: PaceKind, recent: Readonly<PaceSums>, level: number): number {
-	const moved = shrunk(recent[kind], level, quickPriors[kind]) - level;
-	return Math.abs(moved) > turnedFactor ? moved : 0;
+/** Deviation of the fast average from a level; 0 within noise. */
+function deviationOf(kind: PaceKind, recent: Readonly<PaceSums>, level: number): number {
+	const deviation = shrink(recent[kind], level, fastPriors[kind]) - level;
+	return Math.abs(deviation) > deviationThreshold ? deviation : 0;
 }
 
 function paceOf(reading: number, steps: number): Pace {
-	const factor = (level: number) => Math.exp(Math.min(Math.max(level, -bound), bound));
+	const factor = (level: number) =>
+		Math.exp(Math.min(Math.max(level, -maxDeviation), maxDeviation));
 	return { reading: factor(reading), steps: factor(steps) };
 }
--- a/src/core/engines/engine-paces.ts
+++ b/src/core/engines/engine-paces.ts
@@ -1,6 +1,6 @@
 /**
- * How fast each engine works beside the others of its service, learned by all VMs together from the answers that pass
- * through. VMs tell what they saw of each engine in the last second as sums; aggregators add these up.
+ * Tracks the pace of each engine relative to the others of its service, from the answers relayed by all VMs. VMs gossip
+ * decaying sums of their observations of each engine; aggregators add these up.
  * @module
  */
 import type { EngineRef } from '../fleet/types.js';
@@ -11,117 +11,118 @@
 import type { PaceKind, PaceSums } from './pace-sums.js';
 import { addPaceSums, DecayingSums, emptyPaceSums, paceKinds } from './pace-sums.js';
 
-/** A single observation counts as at most, and at least, so many times what was expected. */
+/** An observation is clamped to within this factor of the expected value. */
 const outlierFactor = 10;
-/** Time between two updates of the steady memory and of the service's means, in milliseconds. */
-const settleMs = 100;
-/** The figures of the service count as so many observations beside the means of its engines. */
+/** Interval between updates of the paces and of the service's means, in milliseconds. */
+const updateIntervalMs = 100;
+/** Weight of the service's estimates in the means of its engines, in observations. */
 const meanPrior = 10;
 
-/** What some VMs saw of one engine in the last second. */
+/** Recent observations of one engine by one or several VMs. */
 export interface EnginePaceSums extends PaceSums {
 	engine: EngineRef;
 }
 
-/** The same of a service's engines. */
+/** Recent observations of a service's engines. */
 export interface ServicePaceSums {
-	/** 32 bits that stand for the service in messages. */
+	/** 32-bit hash that identifies the service in messages. */
 	service: number;
 	engines: EnginePaceSums[];
 }
 
-/** An engine's pace, for operators. */
+/** Pace of an engine, for reports to operators. */
 export interface ReportedPace extends Pace {
 	engine: EngineRef;
+	/** Whether its recent pace differs from its steady one by more than noise. */
 	isDeviating: boolean;
 }
 
-class ServiceSpeeds {
+class ServicePaces {
 	private readonly engines = new Map<EngineRef, EnginePace>();
 	private readonly own = new Map<EngineRef, DecayingSums>();
-	private readonly told = new Map<string, Map<EngineRef, DecayingSums>>();
-	private readonly turns = new PaceExportRotation();
+	private readonly peerSums = new Map<string, Map<EngineRef, DecayingSums>>();
+	private readonly rotation = new PaceExportRotation();
 	private readonly means = { reading: 0, steps: 0 };
-	private settledAt = Number.NEGATIVE_INFINITY;
+	private updatedAt = Number.NEGATIVE_INFINITY;
 
 	constructor(private readonly ref: number) {}
 
 	observe(engine: EngineRef, kind: PaceKind, ratio: number, weight: number, now: number): void {
-		const bounded = Math.min(Math.max(ratio, 1 / outlierFactor), outlierFactor);
-		this.settle(now);
-		sumsOf(this.own, engine, now).observe(now, kind, bounded, weight);
-		this.paceOf(engine, now).recent.observe(now, kind, bounded, weight);
+		const clamped = Math.min(Math.max(ratio, 1 / outlierFactor), outlierFactor);
+		this.update(now);
+		sumsOf(this.own, engine, now).observe(now, kind, clamped, weight);
+		this.paceOf(engine, now).recent.observe(now, kind, clamped, weight);
 	}
 
-	/** Counted by time, as a slow engine shows fewer pauses. */
-	pauseSeen(engine: EngineRef, ratio: number, now: number): void {
+	/** Weighted by duration, since a slow engine has fewer pauses. */
+	recordPause(engine: EngineRef, ratio: number, now: number): void {
 		this.observe(engine, 'steps', ratio, Math.min(ratio, outlierFactor), now);
 	}
 
 	pace(engine: EngineRef, now: number): Pace {
-		this.settle(now);
+		this.update(now);
 		return this.engines.get(engine)?.pace ?? nominalPace;
 	}
 
 	steadyPace(engine: EngineRef, now: number): Pace {
-		this.settle(now);
+		this.update(now);
 		return this.engines.get(engine)?.steadyPace ?? nominalPace;
 	}
 
-	speeds(now: number): ReportedPace[] {
-		this.settle(now);
-		return [...this.engines].map(([engine, { pace, isDeviating: isTurned }]) => ({
+	list(now: number): ReportedPace[] {
+		this.update(now);
+		return [...this.engines].map(([engine, { pace, isDeviating }]) => ({
 			engine,
 			...pace,
-			isTurned,
+			isDeviating,
 		}));
 	}
 
-	export(names: readonly string[], now: number, most: number): ServicePaceSums {
-		this.settle(now);
+	export(names: readonly string[], now: number, maxEngines: number): ServicePaceSums {
+		this.update(now);
 		const sums = new Map<EngineRef, PaceSums>();
-		const sources = [this.own, ...names.flatMap((name) => this.told.get(name) ?? [])];
+		const sources = [this.own, ...names.flatMap((name) => this.peerSums.get(name) ?? [])];
 		for (const source of sources) {
-			for (const [engine, fading] of source) {
+			for (const [engine, decaying] of source) {
 				const sum = sums.get(engine) ?? emptyPaceSums();
-				addPaceSums(sum, fading.read(now));
+				addPaceSums(sum, decaying.read(now));
 				sums.set(engine, sum);
 			}
 		}
 		const isUrgent = (engine: EngineRef) => {
 			return this.engines.get(engine)?.isDeviating ?? false;
 		};
-		const told = this.turns.next([...sums.keys()], isUrgent, most);
-		return { service: this.ref, engines: told.map((engine) => row(engine, sums.get(engine))) };
+		const exported = this.rotation.next([...sums.keys()], isUrgent, maxEngines);
+		return { service: this.ref, engines: exported.map((engine) => row(engine, sums.get(engine))) };
 	}
 
-	take(from: string, rows: readonly EnginePaceSums[], now: number): void {
-		this.settle(now);
-		const source = this.told.get(from) ?? new Map<EngineRef, DecayingSums>();
-		this.told.set(from, source);
+	merge(from: string, rows: readonly EnginePaceSums[], now: number): void {
+		this.update(now);
+		const source = this.peerSums.get(from) ?? new Map<EngineRef, DecayingSums>();
+		this.peerSums.set(from, source);
 		for (const { engine, ...sums } of rows) {
 			const pace = this.paceOf(engine, now);
-			const before = source.get(engine);
-			if (before) {
-				pace.recent.add(now, before.read(now), -1);
+			const previous = source.get(engine);
+			if (previous) {
+				pace.recent.add(now, previous.read(now), -1);
 			}
-			const fading = new DecayingSums(now);
-			fading.add(now, sums);
-			source.set(engine, fading);
+			const received = new DecayingSums(now);
+			received.add(now, sums);
+			source.set(engine, received);
 			pace.recent.add(now, sums);
 		}
 	}
 
-	forget(from: string, now: number): void {
-		for (const [engine, fading] of this.told.get(from) ?? []) {
-			this.engines.get(engine)?.recent.add(now, fading.read(now), -1);
+	removePeer(from: string, now: number): void {
+		for (const [engine, decaying] of this.peerSums.get(from) ?? []) {
+			this.engines.get(engine)?.recent.add(now, decaying.read(now), -1);
 		}
-		this.told.delete(from);
+		this.peerSums.delete(from);
 	}
 
-	forgetEngine(engine: EngineRef): void {
+	removeEngine(engine: EngineRef): void {
 		this.engines.delete(engine);
-		for (const source of [this.own, ...this.told.values()]) {
+		for (const source of [this.own, ...this.peerSums.values()]) {
 			source.delete(engine);
 		}
 	}
@@ -132,11 +133,11 @@
 		return pace;
 	}
 
-	private settle(now: number): void {
-		if (now - this.settledAt < settleMs) {
+	private update(now: number): void {
+		if (now - this.updatedAt < updateIntervalMs) {
 			return;
 		}
-		this.settledAt = now;
+		this.updatedAt = now;
 		const all = emptyPaceSums();
 		const recent = emptyPaceSums();
 		for (const pace of this.engines.values()) {
@@ -153,18 +154,18 @@
 		for (const pace of this.engines.values()) {
 			pace.refresh(now, this.means, recentMeans);
 		}
-		this.dropFaded(now);
+		this.dropNegligible(now);
 	}
 
-	private dropFaded(now: number): void {
+	private dropNegligible(now: number): void {
 		for (const [engine, pace] of this.engines) {
 			if (pace.isNegligible(now)) {
 				this.engines.delete(engine);
 			}
 		}
-		for (const source of [this.own, ...this.told.values()]) {
-			for (const [engine, fading] of source) {
-				if (fading.isNegligible(now)) {
+		for (const source of [this.own, ...this.peerSums.values()]) {
+			for (const [engine, decaying] of source) {
+				if (decaying.isNegligible(now)) {
 					source.delete(engine);
 				}
 			}
@@ -173,11 +174,11 @@
 }
 
 export class EnginePaces {
-	private readonly services = new Map<number, ServiceSpeeds>();
+	private readonly services = new Map<number, ServicePaces>();
 
 	/**
-	 * @param ratio observed time over the time that the service's figures say
-	 * @param weight 1 where nothing else is known to have delayed it
+	 * @param ratio observed time over the time estimated for the service
+	 * @param weight 1 where no other request is known to have delayed it
 	 */
 	recordFirstEvent(
 		service: string,
@@ -189,62 +190,64 @@
 		this.of(service).observe(engine, 'reading', ratio, weight, now);
 	}
 
-	/** A calm pause of a stream; `ratio` as for first events. */
+	/** Records an undisturbed pause of a stream; `ratio` as for first events. */
 	recordPause(service: string, engine: EngineRef, ratio: number, now: number): void {
-		this.of(service).pauseSeen(engine, ratio, now);
+		this.of(service).recordPause(engine, ratio, now);
 	}
 
-	/** Pace of an engine now. */
+	/** Current pace of an engine. */
 	pace(service: string, engine: EngineRef, now: number): Pace {
 		return this.of(service).pace(engine, now);
 	}
 
-	/** Pace without short changes, for what must not follow each of them. */
+	/** Pace without short deviations, for decisions that must stay stable. */
 	steadyPace(service: string, engine: EngineRef, now: number): Pace {
 		return this.of(service).steadyPace(engine, now);
 	}
 
 	list(service: string, now: number): ReportedPace[] {
-		return this.of(service).speeds(now);
+		return this.of(service).list(now);
 	}
 
 	/**
-	 * What this VM has seen lately, and what the named ones told.
-	 * @param most engines of a service that are told at once; the others follow in turn
+	 * Exports recent observations for gossip.
+	 * @param names VMs whose observations are added to those of this VM
+	 * @param maxEngines maximum number of engines of a service; the others follow in turn with the next calls
 	 */
-	export(names: readonly string[], now: number, most: number): ServicePaceSums[] {
-		const all = [...this.services.values()].map((speeds) => speeds.export(names, now, most));
+	export(names: readonly string[], now: number, maxEngines: number): ServicePaceSums[] {
+		const all = [...this.services.values()].map((paces) => paces.export(names, now, maxEngines));
 		return all.filter(({ engines }) => engines.length > 0);
 	}
 
-	merge(from: string, told: readonly ServicePaceSums[], now: number): void {
-		for (const { service, engines } of told) {
-			this.ofRef(service).take(from, engines, now);
+	/** Replaces what another VM sent before about the same engines. */
+	merge(from: string, received: readonly ServicePaceSums[], now: number): void {
+		for (const { service, engines } of received) {
+			this.byRef(service).merge(from, engines, now);
 		}
 	}
 
-	/** Another VM no longer tells anything. */
+	/** Drops the observations of another VM. */
 	removePeer(from: string, now: number): void {
-		for (const speeds of this.services.values()) {
-			speeds.forget(from, now);
+		for (const paces of this.services.values()) {
+			paces.removePeer(from, now);
 		}
 	}
 
-	/** This start of an engine is over. */
+	/** Drops an incarnation of an engine that ended. */
 	removeEngine(engine: EngineRef): void {
-		for (const speeds of this.services.values()) {
-			speeds.forgetEngine(engine);
+		for (const paces of this.services.values()) {
+			paces.removeEngine(engine);
 		}
 	}
 
-	private of(service: string): ServiceSpeeds {
-		return this.ofRef(rendezvous.hashText(service));
+	private of(service: string): ServicePaces {
+		return this.byRef(rendezvous.hashText(service));
 	}
 
-	private ofRef(ref: number): ServiceSpeeds {
-		const speeds = this.services.get(ref) ?? new ServiceSpeeds(ref);
-		this.services.set(ref, speeds);
-		return speeds;
+	private byRef(ref: number): ServicePaces {
+		const paces = this.services.get(ref) ?? new ServicePaces(ref);
+		this.services.set(ref, paces);
+		return paces;
 	}
 }
 
--- a/src/core/engines/engine-partition.ts
+++ b/src/core/engines/engine-partition.ts
@@ -1,41 +1,41 @@
 /**
- * Divides the engines of a service: some read long prompts, the others serve streams with tight
- * pauses, which a long prompt beside them would hold up. All VMs keep the same order of engines and
- * nearly the same view of demand, so they agree but for one engine at the border, for a moment.
+ * Partitions the engines of a service into a pool for long prompts and one for short prompts, whose streams a long prompt
+ * would stall. All VMs use the same engine order and similar demand, so they disagree on at most the engine at the boundary.
  * @module
  */
 import type { Demand } from '../fleet/types.js';
 import * as rendezvous from '../membership/rendezvous.js';
 import type { Engine } from './engine.js';
 
-/** Share of long prompts before there is any demand. */
-const firstShare = 0.5;
-/** How busy engines of each side should be at the most; first tokens of short requests are due sooner. */
-const shortBusy = 0.75;
-const longBusy = 0.8;
-/** Long prompts keep at least this share of the engines while there are any. */
-const leastLongShare = 0.25;
-/** The border moves when the wanted place is farther away, in engines of usual pace. */
-const border = 0.75;
-/** A service with fewer engines is not divided. */
-const leastDivided = 3;
+/** Capacity share of the long-prompt pool before there is any demand. */
+const initialLongShare = 0.5;
+/** Target utilization of each pool; lower for short prompts, whose first tokens are due sooner. */
+const shortUtilization = 0.75;
+const longUtilization = 0.8;
+/** Under overload the long-prompt pool keeps at least this share of the capacity. */
+const minLongShare = 0.25;
+/** The boundary moves only when the wanted capacity differs by more than this, in engines of nominal pace. */
+const boundaryHysteresis = 0.75;
+/** Services with fewer engines are not partitioned. */
+const minPartitionedEngines = 3;
 
+/** Ids of the engines in each pool. */
 export interface PromptPools {
 	longPool: ReadonlySet<string>;
 	shortPool: ReadonlySet<string>;
-	/** What those of long prompts do, in engines of usual pace. */
+	/** Capacity of the long-prompt pool, in engines of nominal pace. */
 	longCapacity: number;
 }
 
 export class EnginePartition {
-	private count?: number;
-	private key = '';
+	private longPoolSize?: number;
+	private idsKey = '';
 	private ordered: readonly string[] = [];
 	private cached: Omit<PromptPools, 'longCapacity'> = { longPool: new Set(), shortPool: new Set() };
 
 	/**
-	 * @param engines those of one service that may be given work
-	 * @param capacityOf what an engine does, in engines of usual pace
+	 * @param engines eligible engines of one service
+	 * @param capacityOf capacity of an engine, in engines of nominal pace
 	 */
 	partition(
 		engines: readonly Engine[],
@@ -44,76 +44,76 @@
 	): PromptPools {
 		const capacities = new Map(engines.map((engine) => [engine.id, capacityOf(engine)]));
 		const ids = [...capacities.keys()];
-		if (ids.length < leastDivided) {
+		if (ids.length < minPartitionedEngines) {
 			const all = new Set(ids);
-			return { longPool: all, shortPool: all, longCapacity: capacityOfAll(ids, capacities) };
+			return { longPool: all, shortPool: all, longCapacity: totalCapacity(ids, capacities) };
 		}
 		this.order(ids);
-		const count = this.longCount(capacities, demand);
+		const size = this.resizeLongPool(capacities, demand);
 		const { ordered } = this;
-		if (this.cached.longPool.size !== count) {
+		if (this.cached.longPool.size !== size) {
 			this.cached = {
-				longPool: new Set(ordered.slice(0, count)),
-				shortPool: new Set(ordered.slice(count)),
+				longPool: new Set(ordered.slice(0, size)),
+				shortPool: new Set(ordered.slice(size)),
 			};
 		}
-		return { ...this.cached, longCapacity: capacityOfAll(ordered.slice(0, count), capacities) };
+		return { ...this.cached, longCapacity: totalCapacity(ordered.slice(0, size), capacities) };
 	}
 
 	private order(ids: readonly string[]): void {
 		const key = ids.join(' ');
-		if (key !== this.key) {
-			this.key = key;
+		if (key !== this.idsKey) {
+			this.idsKey = key;
 			this.ordered = rendezvous.pickTop('division', ids, ids.length);
 			this.cached = { longPool: new Set(), shortPool: new Set() };
 		}
 	}
 
-	private longCount(capacities: ReadonlyMap<string, number>, demand: Demand): number {
+	private resizeLongPool(capacities: ReadonlyMap<string, number>, demand: Demand): number {
 		const { ordered } = this;
-		const wanted = wantedLong(capacityOfAll(ordered, capacities), demand);
-		const current = capacityOfAll(ordered.slice(0, this.count), capacities);
-		if (this.count === undefined || Math.abs(wanted - current) > border) {
-			this.count = countFor(wanted, ordered, capacities);
+		const wanted = wantedLongCapacity(totalCapacity(ordered, capacities), demand);
+		const current = totalCapacity(ordered.slice(0, this.longPoolSize), capacities);
+		if (this.longPoolSize === undefined || Math.abs(wanted - current) > boundaryHysteresis) {
+			this.longPoolSize = countForCapacity(wanted, ordered, capacities);
 		}
-		this.count = Math.min(Math.max(this.count, 1), ordered.length - 1);
-		return this.count;
+		this.longPoolSize = Math.min(Math.max(this.longPoolSize, 1), ordered.length - 1);
+		return this.longPoolSize;
 	}
 }
 
-/** How many engines, in their order, come nearest to a capacity. */
-function countFor(
+/** Number of leading engines whose total capacity comes closest to the wanted one. */
+function countForCapacity(
 	wanted: number,
 	ordered: readonly string[],
 	capacities: ReadonlyMap<string, number>,
 ): number {
 	let sum = 0;
-	for (const [at, id] of ordered.entries()) {
+	for (const [index, id] of ordered.entries()) {
 		const capacity = capacities.get(id) ?? 1;
 		if (sum + capacity / 2 > wanted) {
-			return at;
+			return index;
 		}
 		sum += capacity;
 	}
 	return ordered.length;
 }
 
-function capacityOfAll(ids: readonly string[], capacities: ReadonlyMap<string, number>): number {
+function totalCapacity(ids: readonly string[], capacities: ReadonlyMap<string, number>): number {
 	return ids.reduce((sum, id) => sum + (capacities.get(id) ?? 1), 0);
 }
 
 /**
- * In plenty both sides grow alike; in scarcity short requests, which cost little each, come first.
- * @param engines capacity of all, in engines of usual pace
+ * Splits spare capacity in proportion to demand; under overload, short prompts are served first, as each costs little.
+ * @param engines total capacity, in engines of nominal pace
  */
-function wantedLong(engines: number, demand: Demand): number {
-	const short = demand.short / shortBusy;
-	const long = demand.long / longBusy;
+function wantedLongCapacity(engines: number, demand: Demand): number {
+	const short = demand.short / shortUtilization;
+	const long = demand.long / longUtilization;
 	if (short + long === 0) {
-		return engines * firstShare;
+		return engines * initialLongShare;
 	}
 	if (short + long <= engines) {
 		return (engines * long) / (short + long);
 	}
-	return Math.max(engines - short, engines * leastLongShare);
+	return Math.max(engines - short, engines * minLongShare);
 }
--- a/src/core/engines/engine.ts
+++ b/src/core/engines/engine.ts
@@ -1,5 +1,5 @@
 /**
- * One engine as this VM knows it: its registration, its health.
+ * One incarnation of an engine as this VM knows it: its registration, health and notices.
  * @module
  */
 import type { EngineRef } from '../fleet/types.js';
@@ -10,24 +10,24 @@
 
 export class Engine {
 	/**
-	 * Names this start alone. One that began again under the same id knows nothing of before: news that were on their way
-	 * about the start before must not count for it.
+	 * Identifies this incarnation. An engine that restarted under the same id has lost its state, so late gossip about the
+	 * previous incarnation must not apply to it.
 	 */
 	readonly incarnationKey: string;
-	/** 32 bits that stand for it in messages and maps. */
+	/** 32-bit hash of the incarnation key, used in messages and maps. */
 	readonly ref: EngineRef;
 	readonly health = new EngineHealth();
-	/** It left or began again: what it had is no longer counted. */
+	/** Set once the engine left or restarted; its work no longer counts. */
 	isRemoved = false;
-	/** Missing in the store since its return; usable until then, in monotonic milliseconds. */
+	/** Its registration has been missing since the store was restored; usable until this time, in monotonic milliseconds. */
 	missingUntil?: number;
 	/**
-	 * Its registration was seen to end, and stands again in a store that came back from an older copy: not used until then, in
-	 * monotonic milliseconds.
+	 * Its registration had ended and reappeared in a store restored from an older copy; not used until this time, in
+	 * monotonic milliseconds, unless confirmed.
 	 */
 	unconfirmedUntil?: number;
 
-	/** @param notices what this start has said in its answers so far */
+	/** @param notices previous notices of the same incarnation */
 	constructor(
 		public registration: EngineRegistration,
 		readonly notices = new EngineNotices(),
@@ -40,26 +40,26 @@
 		return this.registration.id;
 	}
 
-	/** Whether a registration speaks for this start, rather than for a later one. */
+	/** Whether a registration belongs to this incarnation rather than to another one. */
 	isSameIncarnation({ bornAt, service, address }: EngineRegistration): boolean {
-		const { registration: entry } = this;
-		return bornAt === entry.bornAt && service === entry.service && address === entry.address;
+		const { registration: own } = this;
+		return bornAt === own.bornAt && service === own.service && address === own.address;
 	}
 
-	/** It takes nothing new and ends soon, by its registration or by its own answers. */
+	/** Whether it accepts no new work, by its registration or by its notices. */
 	get isDraining(): boolean {
 		return this.registration.draining || this.notices.isDraining;
 	}
 
-	/** Whether it may be given new work at all, now or after some rest. */
+	/** Whether it may be given new work, now or after its back-off. */
 	isEligible(now: number): boolean {
-		const present = this.missingUntil === undefined || now < this.missingUntil;
-		const isDoubted = this.unconfirmedUntil !== undefined && now < this.unconfirmedUntil;
-		return present && !isDoubted && !this.isDraining;
+		const isPresent = this.missingUntil === undefined || now < this.missingUntil;
+		const isUnconfirmed = this.unconfirmedUntil !== undefined && now < this.unconfirmedUntil;
+		return isPresent && !isUnconfirmed && !this.isDraining;
 	}
 }
 
-/** Names one start of an engine. */
+/** Key that identifies one incarnation of an engine. */
 export function incarnationKeyOf({ id, bornAt }: EngineRegistration): string {
 	return bornAt === undefined ? id : `${id} ${bornAt}`;
 }
--- a/src/core/engines/estimators.ts
+++ b/src/core/engines/estimators.ts
@@ -1,16 +1,15 @@
 /**
- * Small estimators that follow a stream of observations: a line through pairs, a quantile, a ratio of
- * sums. Each starts at a prior, forgets old observations, and bounds what a single one can move. Their sums
- * can be told to other VMs and added up.
+ * Online estimators of a line and of a quantile. Each starts at a prior, decays old observations and limits the
+ * influence of outliers. The sums behind a line can be shared with other VMs and added up.
  * @module
  */
 
-/** An observation counts as at most, and at least, so many times what was expected. */
+/** An observation is clamped to within this factor of the expected value. */
 const outlierFactor = 3;
-/** An estimate stays within this factor of its prior: a defect elsewhere must not turn costs to nothing. */
+/** An estimate stays within this factor of its prior, so that faulty input cannot drive costs to zero. */
 const boundFactor = 20;
 
-/** Weighted sums of pairs; those of several VMs may be added up. */
+/** Weighted sums of (x, y) pairs; sums of several VMs can be added up. */
 export interface LineSums {
 	weight: number;
 	x: number;
@@ -26,10 +25,10 @@
 }
 
 export interface LinePrior extends Line {
-	/** The prior weighs as much as so many observations at 0 and at `at`. */
+	/** Weight of the prior, in observations at each of x = 0 and x = `referenceX`. */
 	observations: number;
 	referenceX: number;
-	/** Observations are as uncertain as they are large; those below this are equally uncertain. */
+	/** The noise of an observation grows with x above this value, and is constant below. */
 	noiseFloor: number;
 }
 
@@ -45,15 +44,15 @@
 	to.xy += other.xy;
 }
 
-/** Least squares with forgetting; `told` are the sums of other VMs. */
+/** Weighted least squares with exponential decay. */
 export class LineEstimator {
 	readonly sums = emptyLineSums();
 	private readonly priorSums = emptyLineSums();
 
-	/** @param keep observations after which an old one counts a third */
+	/** @param decayObservations observations after which the weight of an older one falls to 1/e */
 	constructor(
 		private readonly prior: LinePrior,
-		private readonly keep: number,
+		private readonly decayObservations: number,
 	) {
 		for (const x of [0, prior.referenceX]) {
 			const y = prior.base + prior.slope * x;
@@ -61,47 +60,49 @@
 		}
 	}
 
-	add(x: number, y: number, told: LineSums): void {
-		const { base, slope } = this.fit(told);
+	/** @param peerSums sums of other VMs, to judge outliers by */
+	add(x: number, y: number, peerSums: LineSums): void {
+		const { base, slope } = this.fit(peerSums);
 		const expected = base + slope * x;
-		const bounded = Math.min(Math.max(y, expected / outlierFactor), expected * outlierFactor);
-		forget(this.sums, 1 - 1 / this.keep);
-		addPair(this.sums, x, bounded, this.weightOf(x));
+		const clamped = Math.min(Math.max(y, expected / outlierFactor), expected * outlierFactor);
+		decay(this.sums, 1 - 1 / this.decayObservations);
+		addPair(this.sums, x, clamped, this.weightOf(x));
 	}
 
-	fit(told: LineSums): Line {
+	/** @param peerSums sums of other VMs to include */
+	fit(peerSums: LineSums): Line {
 		const all = emptyLineSums();
 		addLineSums(all, this.priorSums);
 		addLineSums(all, this.sums);
-		addLineSums(all, told);
-		const spread = all.weight * all.xx - all.x * all.x;
-		const slope = (all.weight * all.xy - all.x * all.y) / spread;
-		const bounded = within(slope, this.prior.slope);
-		const base = within((all.y - bounded * all.x) / all.weight, this.prior.base);
-		return { base, slope: bounded };
+		addLineSums(all, peerSums);
+		const determinant = all.weight * all.xx - all.x * all.x;
+		const slope = (all.weight * all.xy - all.x * all.y) / determinant;
+		const boundedSlope = boundByPrior(slope, this.prior.slope);
+		const base = boundByPrior((all.y - boundedSlope * all.x) / all.weight, this.prior.base);
+		return { base, slope: boundedSlope };
 	}
 
 	private weightOf(x: number): number {
-		const { noiseFloor: unit } = this.prior;
-		return (unit / (unit + x)) ** 2;
+		const { noiseFloor } = this.prior;
+		return (noiseFloor / (noiseFloor + x)) ** 2;
 	}
 }
 
-/** A quantile that moves a small step with each observation. */
+/** Quantile estimate that moves by a small relative step with each observation. */
 export class QuantileEstimator {
 	private current: number;
-	private seen = 0;
+	private observations = 0;
 
 	/**
-	 * @param share of observations that lie below
-	 * @param step share of itself that one observation moves it, once it has settled
-	 * @param settled observations after which it has settled; before, it moves faster
+	 * @param quantile share of the observations below the estimate
+	 * @param step relative step per observation, once settled
+	 * @param settledAfter observations after which the estimate is settled; steps are larger before
 	 */
 	constructor(
 		private readonly prior: number,
-		private readonly share: number,
+		private readonly quantile: number,
 		private readonly step: number,
-		private readonly settled: number,
+		private readonly settledAfter: number,
 	) {
 		this.current = prior;
 	}
@@ -110,17 +111,17 @@
 		return this.current;
 	}
 
-	/** Observations that stand behind it, as far as they are not forgotten. */
+	/** Number of observations that effectively support the estimate. */
 	get weight(): number {
-		return Math.min(this.seen, this.settled);
+		return Math.min(this.observations, this.settledAfter);
 	}
 
 	add(value: number): void {
-		this.seen++;
-		const haste = 1 + (4 * this.settled) / (this.settled + 4 * this.seen);
-		const step = this.step * haste;
-		const moved = value < this.current ? 1 - step * (1 - this.share) : 1 + step * this.share;
-		this.current = within(this.current * moved, this.prior);
+		this.observations++;
+		const acceleration = 1 + (4 * this.settledAfter) / (this.settledAfter + 4 * this.observations);
+		const step = this.step * acceleration;
+		const factor = value < this.current ? 1 - step * (1 - this.quantile) : 1 + step * this.quantile;
+		this.current = boundByPrior(this.current * factor, this.prior);
 	}
 }
 
@@ -132,7 +133,7 @@
 	sums.xy += weight * x * y;
 }
 
-function forget(sums: LineSums, factor: number): void {
+function decay(sums: LineSums, factor: number): void {
 	sums.weight *= factor;
 	sums.x *= factor;
 	sums.y *= factor;
@@ -140,6 +141,6 @@
 	sums.xy *= factor;
 }
 
-function within(value: number, prior: number): number {
+function boundByPrior(value: number, prior: number): number {
 	return Math.min(Math.max(value, prior / boundFactor), prior * boundFactor);
 }
--- a/src/core/engines/fleet-health.ts
+++ b/src/core/engines/fleet-health.ts
@@ -1,9 +1,6 @@
 /**
- * Engines that fail the requests of several VMs at once, as the fleet's answers of the last seconds tell. Each VM alone needs some
- * failures to close an engine, and in a large fleet every VM would pay for them; together they need as many as one.
- *
- * The load it answers: many VMs, each with few requests to each engine, before engines that fail all or part of what they get
- * while their registration says that they are well.
+ * Fleet-wide circuit breaker over the recent answers that all VMs got from each engine. In a large fleet with few requests per VM
+ * and engine, it opens after as many failures as one VM alone would need, rather than after that many on every VM.
  * @module
  */
 import type { Clock, Log, Random } from '../definitions.js';
@@ -16,34 +13,34 @@
 	RecentAnswers,
 } from './recent-answers.js';
 
-/** Failures of the last seconds after which an engine is closed for the whole fleet: as many as one VM needs. */
-const failuresToClose = 3;
-/** And this share of its answers: callers that can be served elsewhere are not sent where one in four fails. */
-const shareToClose = 0.25;
-/** One VM that fails everywhere may be cut off itself. */
-const vmsToClose = 2;
-/** First and longest time that it stays closed, in milliseconds. The first is longer than answers are remembered and told. */
-const firstCloseMs = 2500;
-const maxCloseMs = 8000;
-/** Within this time after it, VMs try the engine one after the other, in milliseconds: the first answers are heard meanwhile. */
+/** Minimum number of recent failures, over all VMs, that opens the circuit. */
+const failuresToOpen = 3;
+/** Minimum share of failures among the recent answers that opens the circuit. */
+const failureShareToOpen = 0.25;
+/** Minimum number of VMs that saw failures: a single VM may itself be cut off. */
+const vmsToOpen = 2;
+/** Initial and maximum time that the circuit stays open, in milliseconds. The initial one outlasts the counted answers. */
+const initialOpenMs = 2500;
+const maxOpenMs = 8000;
+/** Random spread of the trials by different VMs, in milliseconds, so that the first results reach the others in time. */
 const trialSpreadMs = 1000;
-/** An engine on trial that nobody failed at for so long is as any other, in milliseconds. */
+/** The circuit closes after this time on trial without a failure, in milliseconds. */
 const trialMs = 10_000;
-/** Engines that one datagram tells of, those that failed most: more have another cause than the engines. */
-const rowsEach = 24;
-/** Where more engines than this share of a service are closed, what fails is not the engines. */
-const mostClosedShare = 0.5;
-
-/** An engine that was closed, until it has served again. */
-interface Verdict {
-	closeMs: number;
-	closedUntil: number;
-	/** When this VM may try it. */
+/** Maximum number of engines in a message, those with the most failures: when more fail, the engines are not the cause. */
+const maxExportedRows = 24;
+/** With a larger share of a service's circuits open, the engines are not the cause and none is avoided. */
+const maxOpenShare = 0.5;
+
+/** State of a circuit that is open or half-open. */
+interface Circuit {
+	openMs: number;
+	openUntil: number;
+	/** When this VM may send a trial request. */
 	trialAt: number;
 }
 
-/** An engine, by what names it in messages. */
-interface Referred {
+/** Anything identified by an engine reference. */
+interface HasRef {
 	ref: EngineRef;
 }
 
@@ -51,20 +48,21 @@
 	clock: Clock;
 	log: Log;
 	random: Random;
-	/** VMs that are heard, this one included. */
+	/** Number of VMs whose gossip arrives, including this one. */
 	countLiveVms: () => number;
-	/** Something is to be told to the other VMs. */
+	/** Called when there is something new to gossip. */
 	onUpdate: () => void;
 	engineId: (ref: EngineRef) => string | undefined;
 }
 
-/** What is told to other VMs, and heard of them. */
+/** Exchange of answer counts with other VMs. */
 export interface AnswerGossip {
-	/** @param names VMs whose answers are added to those of this VM */
+	/** @param names VMs whose counts are added to those of this VM */
 	export(names: readonly string[]): EngineAnswerCounts[];
 	/**
-	 * @param isTotal the rows contain this VM's own answers
-	 * @returns whether they differ from what was told before
+	 * Replaces the counts that a VM sent before.
+	 * @param isTotal whether the rows include this VM's own counts
+	 * @returns whether they differ from the previous ones
 	 */
 	merge(from: string, rows: readonly EngineAnswerCounts[], isTotal: boolean): boolean;
 	removePeer(from: string): void;
@@ -72,82 +70,82 @@
 
 export class FleetHealth implements AnswerGossip {
 	private readonly own: RecentAnswers;
-	private readonly told = new Map<string, ToldAnswers>();
-	private readonly verdicts = new Map<EngineRef, Verdict>();
+	private readonly peerAnswers = new Map<string, PeerAnswers>();
+	private readonly circuits = new Map<EngineRef, Circuit>();
 
 	constructor(private readonly opts: FleetHealthOptions) {
 		this.own = new RecentAnswers(opts.clock);
 	}
 
-	/** The engine failed a request of this VM, or could not be reached. */
-	recordFailure({ ref }: Referred): void {
+	/** Records that the engine failed a request of this VM, or could not be reached. */
+	recordFailure({ ref }: HasRef): void {
 		this.own.recordFailure(ref);
-		this.judge(ref);
+		this.updateCircuit(ref);
 		this.opts.onUpdate();
 	}
 
-	/** The engine served a request of this VM to its end. */
-	recordSuccess({ ref }: Referred): void {
+	/** Records that the engine served a request of this VM to its end. */
+	recordSuccess({ ref }: HasRef): void {
 		this.own.recordSuccess(ref);
-		if (this.verdicts.has(ref)) {
-			this.judge(ref);
+		if (this.circuits.has(ref)) {
+			this.updateCircuit(ref);
 			this.opts.onUpdate();
 		}
 	}
 
 	/**
-	 * Engines that the fleet's answers do not speak against; all of them where these would be too few.
-	 * @param engines those of one service that may be given work otherwise
+	 * Engines whose circuit is closed or due for a trial; all engines where these would be too few.
+	 * @param engines eligible engines of one service
 	 */
-	filterAvailable<T extends Referred>(engines: readonly T[]): readonly T[] {
-		if (this.verdicts.size === 0) {
+	filterAvailable<T extends HasRef>(engines: readonly T[]): readonly T[] {
+		if (this.circuits.size === 0) {
 			return engines;
 		}
 		const { now } = this;
-		const open = engines.filter(({ ref }) => now >= (this.verdicts.get(ref)?.trialAt ?? now));
-		return open.length < engines.length * mostClosedShare ? engines : open;
+		const available = engines.filter(({ ref }) => now >= (this.circuits.get(ref)?.trialAt ?? now));
+		return available.length < engines.length * maxOpenShare ? engines : available;
 	}
 
 	export(names: readonly string[]): EngineAnswerCounts[] {
-		const told = names.map((name) => this.told.get(name));
+		const peers = names.map((name) => this.peerAnswers.get(name));
 		const rows: EngineAnswerCounts[] = [];
-		for (const ref of this.doubted()) {
+		for (const ref of this.suspects()) {
 			const row = emptyAnswerCounts(ref);
 			addAnswerCounts(row, this.own.of(ref));
-			for (const answers of told) {
+			for (const answers of peers) {
 				addAnswerCounts(row, answers?.rows.get(ref));
 			}
 			if (row.failed > 0 || row.served > 0) {
 				rows.push(row);
 			}
 		}
-		return rows.sort((a, b) => b.failed - a.failed).slice(0, rowsEach);
+		return rows.sort((a, b) => b.failed - a.failed).slice(0, maxExportedRows);
 	}
 
 	merge(from: string, rows: readonly EngineAnswerCounts[], isTotal: boolean): boolean {
-		const before = this.told.get(from)?.rows;
-		const isNew = rows.some((row) => !areCountsEqual(row, before?.get(row.engine)));
+		const previous = this.peerAnswers.get(from)?.rows;
+		const isNew = rows.some((row) => !areCountsEqual(row, previous?.get(row.engine)));
 		if (rows.length === 0) {
-			this.told.delete(from);
+			this.peerAnswers.delete(from);
 			return false;
 		}
-		this.told.set(from, { rows: new Map(rows.map((row) => [row.engine, row])), isTotal });
+		this.peerAnswers.set(from, { rows: new Map(rows.map((row) => [row.engine, row])), isTotal });
 		for (const { engine } of rows) {
-			this.judge(engine);
+			this.updateCircuit(engine);
 		}
 		return isNew;
 	}
 
 	removePeer(from: string): void {
-		this.told.delete(from);
+		this.peerAnswers.delete(from);
 	}
 
-	/** Forgets what is old; called each second. */
+	/** Drops old counts and closes circuits after their trial; called each second. */
 	sweep(): void {
 		this.own.sweep();
-		for (const [ref, { closedUntil }] of this.verdicts) {
-			if (this.now - closedUntil > trialMs) {
-				this.verdicts.delete(ref);
+		for (const [ref, { openUntil }] of this.circuits) {
+			if (this.now - openUntil > trialMs) {
+				this.circuits.delete(ref);
 			}
 		}
 	}
@@ -156,10 +154,10 @@
 		return this.opts.clock.monotonic();
 	}
 
-	/** Engines of which any VM tells a failure, or that are closed or on trial. */
-	private doubted(): ReadonlySet<EngineRef> {
-		const refs = new Set([...this.own.failingEngines(), ...this.verdicts.keys()]);
-		for (const { rows } of this.told.values()) {
+	/** Engines with failures at any VM, or with a circuit that is open or half-open. */
+	private suspects(): ReadonlySet<EngineRef> {
+		const refs = new Set([...this.own.failingEngines(), ...this.circuits.keys()]);
+		for (const { rows } of this.peerAnswers.values()) {
 			for (const ref of rows.keys()) {
 				refs.add(ref);
 			}
@@ -167,15 +165,15 @@
 		return refs;
 	}
 
-	/** Answers of the whole fleet. */
+	/** Answer counts of the whole fleet. */
 	private totalOf(ref: EngineRef): EngineAnswerCounts {
 		const sum = emptyAnswerCounts(ref);
 		const own = this.own.of(ref);
 		addAnswerCounts(sum, own);
-		for (const { rows, isTotal } of this.told.values()) {
+		for (const { rows, isTotal } of this.peerAnswers.values()) {
 			const row = rows.get(ref);
 			if (isTotal && row) {
-				// The sums contain what this VM told of its own, which may be a little older than what it knows.
+				// The totals include this VM's own counts as it last sent them, which may be outdated.
 				sum.failed = Math.max(own.failed, row.failed);
 				sum.served = Math.max(own.served, row.served);
 				sum.failingVms = Math.max(own.failingVms, row.failingVms);
@@ -186,49 +184,49 @@
 		return sum;
 	}
 
-	private judge(ref: EngineRef): void {
+	private updateCircuit(ref: EngineRef): void {
 		const total = this.totalOf(ref);
-		const verdict = this.verdicts.get(ref);
-		if (!verdict) {
-			if (this.failsFleet(total)) {
-				this.close(ref, total, firstCloseMs);
+		const circuit = this.circuits.get(ref);
+		if (!circuit) {
+			if (this.shouldOpen(total)) {
+				this.open(ref, total, initialOpenMs);
 			}
-		} else if (this.now >= verdict.closedUntil) {
-			this.judgeTrial(ref, total, verdict);
+		} else if (this.now >= circuit.openUntil) {
+			this.evaluateTrial(ref, total, circuit);
 		}
 	}
 
-	/** What was remembered when it was closed is forgotten by now: every answer is one of the trial. */
-	private judgeTrial(ref: EngineRef, total: EngineAnswerCounts, { closeMs }: Verdict): void {
+	/** Counts from before the circuit opened have expired by now, so every answer belongs to the trial. */
+	private evaluateTrial(ref: EngineRef, total: EngineAnswerCounts, { openMs }: Circuit): void {
 		if (total.failed > 0) {
-			this.close(ref, total, Math.min(closeMs * 2, maxCloseMs));
+			this.open(ref, total, Math.min(openMs * 2, maxOpenMs));
 		} else if (total.served > 0) {
-			this.verdicts.delete(ref);
+			this.circuits.delete(ref);
 			this.opts.log.info('engine.restored', { engine: this.opts.engineId(ref) });
 		}
 	}
 
-	private failsFleet({ failed, served, failingVms }: EngineAnswerCounts): boolean {
-		const vms = Math.min(vmsToClose, this.opts.countLiveVms());
+	private shouldOpen({ failed, served, failingVms }: EngineAnswerCounts): boolean {
+		const minVms = Math.min(vmsToOpen, this.opts.countLiveVms());
 		const share = failed / (failed + served);
-		return failed >= failuresToClose && share >= shareToClose && failingVms >= vms;
+		return failed >= failuresToOpen && share >= failureShareToOpen && failingVms >= minVms;
 	}
 
-	private close(ref: EngineRef, { failed, served }: EngineAnswerCounts, closeMs: number): void {
-		const closedUntil = this.now + closeMs;
-		const trialAt = closedUntil + this.opts.random.next() * trialSpreadMs;
-		this.verdicts.set(ref, { closeMs, closedUntil, trialAt });
+	private open(ref: EngineRef, { failed, served }: EngineAnswerCounts, openMs: number): void {
+		const openUntil = this.now + openMs;
+		const trialAt = openUntil + this.opts.random.next() * trialSpreadMs;
+		this.circuits.set(ref, { openMs, openUntil, trialAt });
 		this.opts.log.warn('engine.suspected', {
 			engine: this.opts.engineId(ref),
 			failed,
 			served,
-			close_ms: closeMs,
+			close_ms: openMs,
 		});
 	}
 }
 
-/** What one VM told last. */
-interface ToldAnswers {
+/** Counts that one VM sent last. */
+interface PeerAnswers {
 	rows: ReadonlyMap<EngineRef, EngineAnswerCounts>;
 	isTotal: boolean;
 }
--- a/src/core/engines/long-prompt.ts
+++ b/src/core/engines/long-prompt.ts
@@ -1,34 +1,33 @@
 /**
- * How long an engine may read a prompt before the streams beside it pause for too long.
+ * Decides which prompts are long: those whose reading would stall concurrent streams for longer than they tolerate.
  * @module
  */
 import type { CostEstimates } from './work-estimate.js';
 import { readingMs } from './work-estimate.js';
 
-/** An engine may read for this share of the pause that the most delicate streams of its service can still bear. */
+/** Share of the tightest target pause of a service that reading a prompt may take. */
 const pauseShare = 0.75;
-/** Where engines are so slow that little of that pause is left, this share of it counts all the same. */
-const leastPauseLeft = 0.25;
+/** At least this share of the target pause counts as free, however slow the engines are. */
+const minFreePauseShare = 0.25;
 
 /**
- * Milliseconds of reading that the streams of a service can bear; without limit where none has a target pause.
+ * Milliseconds of reading that the streams of a service tolerate; infinite where no stream has a target pause.
  * @param tightestPauseMs shortest of the target pauses of the service's streams
  */
 export function maxReadingMs(tightestPauseMs: number | undefined, costs: CostEstimates): number {
 	if (tightestPauseMs === undefined) {
 		return Number.POSITIVE_INFINITY;
 	}
-	const leftMs = Math.max(
+	const freeMs = Math.max(
 		tightestPauseMs - costs.eventIntervalMs,
-		tightestPauseMs * leastPauseLeft,
+		tightestPauseMs * minFreePauseShare,
 	);
-	return leftMs * pauseShare;
+	return freeMs * pauseShare;
 }
 
 /**
- * Whether reading the prompt would hold up the streams beside it. Told by the whole prompt, so that requests that share
- * a part meet on one side whether or not it is kept already: told by the rest, long prompts lost 0.07 of their
- * worth in an overload.
+ * Whether reading the prompt would stall concurrent streams. Counts cached tokens too, so that prompts sharing segments
+ * always go to the same pool.
  */
 export function isLongPrompt(
 	promptTokens: number,
--- a/src/core/engines/overload.ts
+++ b/src/core/engines/overload.ts
@@ -1,41 +1,42 @@
 /**
- * Refuses requests of the least urgent tier when load is at its worst: a burst that brings more prompts than the
- * engines can read. Without it each of them waits until it is late, and those that could have been in time with them.
- * More urgent ones are never refused: engines let them go first.
+ * Load shedding for the least urgent tier, when prompts arrive faster than the engines can read them. Without it, all requests
+ * would miss their targets. More urgent requests are never refused, as engines serve them first.
  * @module
  */
 
+/** Maximum expected wait as a share of the target; below 1, so that accepted requests still meet their targets. */
+const maxWaitShare = 0.8;
 /**
- * Such a request is refused at once when it would wait for longer than this share of its target. With the whole
- * target as limit 33 % of those taken were in time on fast engines in a replayed overload, and 80 % or more with this.
+ * Upper bound, as a share of the target, for how much the reading of the prompt itself counts. Otherwise even idle engines would
+ * refuse prompts that take longer than their target to read.
  */
-const longestWait = 0.8;
-/**
- * Of the time that a prompt takes itself at most this share of its target counts: the largest ones take longer than
- * their target by themselves, and would be refused by engines that have nothing else to do.
- */
-const ownShare = 0.25;
-/** Long prompts keep their engines as busy as they can be; beyond this the queue grows as long as the burst lasts. */
-const mostBusy = 1;
-/** Engines that are that busy refuse from a wait of this share of the target on. */
-const busyWait = 0.5;
-/** Seconds after which a refused caller may come back: a queue at its limit drains in less, once the burst lets it. */
+const maxOwnReadingShare = 0.25;
+/** Utilization of the long-prompt pool above which its queues keep growing. */
+const maxUtilization = 1;
+/** Maximum wait as a share of the target while the long-prompt pool is above that utilization. */
+const maxWaitShareWhenBusy = 0.5;
+/** Seconds after which a refused caller may retry; a full queue drains faster once the burst ends. */
 export const refusalRetryAfterS = 1;
 
-/** What awaits a request at the best engine, in milliseconds. */
+/** Expected delay of a request at its best engine, in milliseconds. */
 export interface ExpectedWait {
-	/** Until its prompt begins to be read. */
+	/** Until its prompt starts to be read. */
 	queueMs: number;
-	/** For reading it. */
+	/** For reading the prompt. */
 	ownReadingMs: number;
 }
 
 /**
- * @param targetMs time within which the first event should come
- * @param busyShare how busy long prompts keep the engines that read them; 0 for a short prompt
+ * Whether a request of the least urgent tier should be refused.
+ * @param targetMs time within which the first event should arrive
+ * @param utilization of the long-prompt pool; 0 for a short prompt
  */
-export function shouldRefuse(awaited: ExpectedWait, targetMs: number, busyShare: number): boolean {
-	const waitMs = awaited.queueMs + Math.min(awaited.ownReadingMs, targetMs * ownShare);
-	const longest = busyShare > mostBusy ? busyWait : longestWait;
-	return waitMs > targetMs * longest;
+export function shouldRefuse(
+	expected: ExpectedWait,
+	targetMs: number,
+	utilization: number,
+): boolean {
+	const waitMs = expected.queueMs + Math.min(expected.ownReadingMs, targetMs * maxOwnReadingShare);
+	const maxShare = utilization > maxUtilization ? maxWaitShareWhenBusy : maxWaitShare;
+	return waitMs > targetMs * maxShare;
 }
--- a/src/core/engines/pace-sums.ts
+++ b/src/core/engines/pace-sums.ts
@@ -1,16 +1,16 @@
 /**
- * Sums of what engines' answers lately showed of their pace: they fade with time, and those of several VMs add up. Paces
- * are counted as natural logarithms, so that half and twice the usual time weigh alike and a late answer moves little.
+ * Exponentially decaying sums of pace observations, which can be added up across VMs. Paces are summed as natural
+ * logarithms, so that half and twice the expected time weigh alike and outliers have little influence.
  * @module
  */
 
-/** Observations of one kind: their weight, and the weighted sum of the logarithms of observed over expected time. */
+/** Total weight of observations, and weighted sum of the logarithms of observed over expected time. */
 export interface PaceSum {
 	weight: number;
 	sum: number;
 }
 
-/** Compute-bound work and memory-bound work, which an engine may do at different paces. */
+/** Compute-bound reading of prompts and memory-bound steps, which an engine may do at different paces. */
 export interface PaceSums {
 	reading: PaceSum;
 	steps: PaceSum;
@@ -19,16 +19,16 @@
 export type PaceKind = keyof PaceSums;
 export const paceKinds: readonly PaceKind[] = ['reading', 'steps'];
 
-/** Time after which an observation counts a third, in milliseconds: a change shows in a second or two. */
+/** Time constant of the decay, in milliseconds: short enough to react to a change within a second or two. */
 export const decayMs = 1000;
-/** Sums that weigh less than a twentieth of an observation are forgotten. */
+/** Sums of less weight, in observations, are dropped. */
 export const minWeight = 0.05;
 
 export function emptyPaceSums(): PaceSums {
 	return { reading: { weight: 0, sum: 0 }, steps: { weight: 0, sum: 0 } };
 }
 
-/** @param sign -1 takes them off */
+/** @param sign -1 to subtract */
 export function addPaceSums(to: PaceSums, other: PaceSums, sign = 1): void {
 	for (const kind of paceKinds) {
 		to[kind].weight = Math.max(0, to[kind].weight + sign * other[kind].weight);
@@ -36,19 +36,19 @@
 	}
 }
 
-/** Sums of the last seconds; all fade alike, so that faded sums can be added up and taken off. */
+/** Sums that decay with a common time constant, so that decayed sums can be added and subtracted. */
 export class DecayingSums {
 	private readonly sums = emptyPaceSums();
 
 	/** @param at monotonic milliseconds */
 	constructor(private at: number) {}
 
-	/** Sums as they count at a time. */
+	/** Decays the sums up to a time and returns them. */
 	read(now: number): Readonly<PaceSums> {
-		const left = Math.exp(-Math.max(0, now - this.at) / decayMs);
+		const decay = Math.exp(-Math.max(0, now - this.at) / decayMs);
 		for (const kind of paceKinds) {
-			this.sums[kind].weight *= left;
-			this.sums[kind].sum *= left;
+			this.sums[kind].weight *= decay;
+			this.sums[kind].sum *= decay;
 		}
 		this.at = Math.max(this.at, now);
 		return this.sums;
@@ -66,7 +66,7 @@
 		this.sums[kind].sum += weight * Math.log(ratio);
 	}
 
-	/** Whether too little is left to tell anything. */
+	/** Whether too little weight is left to be useful. */
 	isNegligible(now: number): boolean {
 		const { reading, steps } = this.read(now);
 		return reading.weight + steps.weight < minWeight;
--- a/src/core/engines/past-incarnations.ts
+++ b/src/core/engines/past-incarnations.ts
@@ -1,6 +1,6 @@
 /**
- * What is known of starts of engines beyond their registrations, which may lapse, be written again, or stand again in a store that
- * came back from an older copy.
+ * Remembers incarnations of engines beyond their registrations, which may lapse, be rewritten, or reappear in a store that was
+ * restored from an older copy.
  * @module
  */
 import type { Clock, Log } from '../definitions.js';
@@ -10,26 +10,26 @@
 import type { EngineRegistration } from './types.js';
 
 /**
- * What a start of an engine said is kept for so long after its registration went, in milliseconds: the longest lease, and
- * far longer than an engine that leaves serves on. A registration that lapsed and came back would else read as ready.
+ * Retention of notices after the end of a registration, in milliseconds: the longest lease, and far longer than an engine drains.
+ * Otherwise a registration that lapsed and returned would make a draining engine eligible again.
  */
-const keptMs = 600_000;
+const retentionMs = 600_000;
 /**
- * A registration that had ended and stands again in an older copy of the store lapses within this time, in milliseconds, if its
- * engine is gone: after three heartbeats of at most two seconds.
+ * Time within which a registration that reappeared in an older copy of the store lapses if its engine is gone, in
+ * milliseconds: three heartbeats of at most two seconds.
  */
-const doubtMs = 6000;
+const confirmationMs = 6000;
 
-interface Start {
+interface Incarnation {
 	notices: EngineNotices;
-	/** In milliseconds since boot; undefined while it is registered. */
-	keptUntil?: number;
-	/** Era of the store in which its registration ended. */
-	endedIn?: number;
+	/** In milliseconds since boot; undefined while registered. */
+	retainedUntil?: number;
+	/** Era of the store in which the registration ended. */
+	endedInEra?: number;
 }
 
 export class PastIncarnations {
-	private readonly byKey = new Map<string, Start>();
+	private readonly byKey = new Map<string, Incarnation>();
 
 	constructor(
 		private readonly clock: Clock,
@@ -37,31 +37,35 @@
 	) {}
 
 	/**
-	 * The engine of a new registration. What the same start said before counts on. One that had ended, and stands in a later era of
-	 * the store, may stand there in an older copy only: it is doubted until it is written again.
+	 * Creates the engine of a new registration, with the previous notices of the same incarnation. A registration that ended in an
+	 * earlier era of the store may come from an older copy; its engine stays unconfirmed until it is written again.
 	 */
-	createEngine(entry: EngineRegistration, revision: number): Engine {
-		const key = incarnationKeyOf(entry);
-		const { notices = new EngineNotices(), endedIn } = this.byKey.get(key) ?? {};
+	createEngine(registration: EngineRegistration, revision: number): Engine {
+		const key = incarnationKeyOf(registration);
+		const { notices = new EngineNotices(), endedInEra } = this.byKey.get(key) ?? {};
 		this.byKey.set(key, { notices });
-		const engine = new Engine(entry, notices);
-		if (endedIn !== undefined && endedIn < eraOf(revision)) {
-			engine.unconfirmedUntil = this.clock.monotonic() + doubtMs;
-			this.log.warn('engine.doubted', { engine: entry.id, ms: doubtMs });
+		const engine = new Engine(registration, notices);
+		if (endedInEra !== undefined && endedInEra < eraOf(revision)) {
+			engine.unconfirmedUntil = this.clock.monotonic() + confirmationMs;
+			this.log.warn('engine.doubted', { engine: registration.id, ms: confirmationMs });
 		}
 		return engine;
 	}
 
-	/** @param endedIn era of the store in which the registration ended */
-	recordEnd({ incarnationKey: key, notices }: Engine, endedIn: number): void {
-		this.byKey.set(key, { notices, endedIn, keptUntil: this.clock.sinceBoot() + keptMs });
+	/** @param endedInEra era of the store in which the registration ended */
+	recordEnd({ incarnationKey, notices }: Engine, endedInEra: number): void {
+		this.byKey.set(incarnationKey, {
+			notices,
+			endedInEra,
+			retainedUntil: this.clock.sinceBoot() + retentionMs,
+		});
 	}
 
-	/** Forgets those that ended long ago; called several times a second. */
+	/** Drops expired incarnations; called several times a second. */
 	sweep(): void {
 		const now = this.clock.sinceBoot();
-		for (const [key, { keptUntil }] of this.byKey) {
-			if (keptUntil !== undefined && now >= keptUntil) {
+		for (const [key, { retainedUntil }] of this.byKey) {
+			if (retainedUntil !== undefined && now >= retainedUntil) {
 				this.byKey.delete(key);
 			}
 		}
--- a/src/core/engines/pause-penalty.ts
+++ b/src/core/engines/pause-penalty.ts
@@ -1,18 +1,18 @@
 /**
- * What it costs a stream to run where its pauses may be too long: engines whose undisturbed pause comes near the
- * target are left to callers that can bear it.
+ * Placement penalty for engines whose pauses may exceed the target pause of a stream, which leaves slow engines to
+ * callers that tolerate longer pauses.
  * @module
  */
 import type { CostEstimates } from './work-estimate.js';
 
-/** An undisturbed pause of up to this share of the target leaves room for prompts that are read beside: they make it several times as long. */
-const bearableShare = 0.25;
+/** Undisturbed pauses up to this share of the target incur no penalty; concurrent prompts lengthen a pause several times. */
+const freeShare = 0.25;
 
 /**
- * Milliseconds of waiting that the pauses to expect are as bad as: none while they leave three quarters of the target, and as much as
- * a first event that comes late by its whole target when nothing is left.
- * @param targetPauseMs undefined where the caller names none
- * @param targetMs within which the first event should come
+ * Penalty in milliseconds of equivalent wait. Grows linearly above the free share, up to `targetMs` when the undisturbed pause
+ * alone reaches the target pause, and further beyond.
+ * @param targetPauseMs undefined when the caller names none
+ * @param targetMs time within which the first event should arrive
  */
 export function pausePenaltyMs(
 	costs: CostEstimates,
@@ -23,6 +23,6 @@
 		return 0;
 	}
 	const share = costs.eventIntervalMs / targetPauseMs;
-	const over = Math.max(0, share - bearableShare) / (1 - bearableShare);
-	return over * targetMs;
+	const excess = Math.max(0, share - freeShare) / (1 - freeShare);
+	return excess * targetMs;
 }
--- a/src/core/engines/placement-types.ts
+++ b/src/core/engines/placement-types.ts
@@ -1,5 +1,5 @@
 /**
- * What is placed, what it is weighed by, and what comes of it.
+ * Types of placement: requests, results, and the scoring of engines.
  * @module
  */
 import type { CachedTokens } from '../fleet/prefix-cache-map.js';
@@ -15,41 +15,41 @@
 	segments: readonly PromptSegment[];
 	promptTokens: number;
 	answerTokens: number;
-	/** The first event should come within this time, in milliseconds. */
+	/** Time within which the first event should arrive, in milliseconds. */
 	targetMs: number;
 	/** Shortest of the target pauses of the service's streams, in milliseconds; undefined when none has one. */
 	tightestPauseMs?: number;
-	/** Between two events the request's own caller wants no longer pause, in milliseconds; undefined when it names none. */
+	/** Target for the pause between two events of this request, in milliseconds; undefined when its caller names none. */
 	targetPauseMs?: number;
 	model?: ModelCapacity;
-	/** No route of the service has a less urgent tier. */
+	/** Whether no route of the service has a less urgent tier. */
 	isLeastUrgentTier: boolean;
-	/** Engines that already had this request. */
+	/** Ids of the engines that this request was already sent to. */
 	tried: ReadonlySet<string>;
-	/** Whether an engine can take it now, as far as the requests a second that the engine names are known. */
+	/** Whether the known rate limit of an engine allows the request now. */
 	admits: (engine: Engine) => boolean;
-	/** Whether an engine names how many requests a second it takes. */
+	/** Whether an engine announces a rate limit. */
 	isLimited: (engine: Engine) => boolean;
 }
 
 export interface Placement {
 	engine: Engine;
-	/** Prompt tokens that it will have to read, and how long that should take, in milliseconds. */
+	/** Prompt tokens that the engine will have to read, and the estimated time for it in milliseconds. */
 	promptTokens: number;
 	readingMs: number;
-	/** What decided: estimated time until the first event, and cost of reading a token, in milliseconds. */
+	/** Estimates behind the choice: time to the first event, and time to read a token, in milliseconds. */
 	waitMs: number;
 	readMsPerToken: number;
-	/** How many times as long as its service's figures say work takes there; 1 is usual. */
+	/** Pace of the engine relative to its service's estimates; 1 is nominal. */
 	pace: Pace;
-	/** Prompt tokens that it is believed to keep. */
+	/** Prompt tokens expected to be in the prefix cache of the engine. */
 	cachedTokens: number;
-	/** Prompt tokens that it should copy from another engine, and that engine; none if there is no gain. */
+	/** Prompt tokens to copy from another engine, and that engine; 0 if copying gains nothing. */
 	copiedTokens: number;
 	copyFrom?: Engine;
-	/** What the fleet had there when it was chosen. */
+	/** The fleet's work at the engine when it was chosen. */
 	work: EngineWork;
-	/** Why this one, for the log. */
+	/** Reason for the choice, for the log. */
 	reason: string;
 }
 
@@ -58,42 +58,44 @@
 	retryAfterS: number;
 }
 
-/** An engine, as one request was weighed against it. */
+/** An engine with its score for one request. */
 export interface Candidate {
 	engine: Engine;
 	work: EngineWork;
-	/** What work costs there. */
+	/** Cost estimates for the engine. */
 	costs: CostEstimates;
-	/** Milliseconds until its prompt begins to be read, and for reading it. */
+	/** Milliseconds until the prompt starts to be read. */
 	queueMs: number;
+	/** Milliseconds to read and copy the prompt. */
 	ownReadingMs: number;
-	/** Milliseconds until its first event. */
+	/** Milliseconds to the first event. */
 	waitMs: number;
-	/** Wait and what it costs the others, in steps. */
+	/** Wait, penalties and bonuses, in rounding steps. */
 	costSteps: number;
 	uncachedTokens: number;
 	cachedTokens: number;
 	copiedTokens: number;
-	/** Of equal costs the higher is taken. */
+	/** The highest wins among candidates of equal cost. */
 	tieBreakScore: number;
 }
 
-/** Which engines keep how much of the start of a prompt. */
+/** Which engines have how much of a prompt in their prefix caches. */
 export interface CachedPrefixes {
 	byEngine: ReadonlyMap<EngineRef, CachedTokens>;
-	/** The engine from which most of it can be copied, and how much. */
+	/** The engine from which the most tokens can be copied. */
 	copyFrom?: Engine;
 	copyableTokens: number;
 }
 
-/** What is the same for all engines that one request is weighed against. */
+/** Inputs of scoring that are common to all engines. */
 export interface ScoringContext {
 	req: PlacementRequest;
 	cachedPrefixes: CachedPrefixes;
-	/** Tokens that it shares with others, and the last part of those. */
+	/** Tokens of the segments that other requests may share. */
 	sharedTokens: number;
+	/** Id of the last shared segment, from which affinity engines are selected. */
 	affinityKey: string;
-	/** What it saves the next ones to read that where they look for it, in milliseconds. */
+	/** Bonus of the first affinity engine, in milliseconds: later requests find the prefix cached there. */
 	affinityBonusMs: number;
 	/** Monotonic milliseconds. */
 	now: number;
--- a/src/core/engines/placement.ts
+++ b/src/core/engines/placement.ts
@@ -1,6 +1,5 @@
 /**
- * Chooses the engine for a request from what the fleet knows: where its prompt was read, and what
- * waits there.
+ * Chooses the engine for a request by estimated cost: queues, prefix caches and the pace of engines, as known to the fleet.
  * @module
  */
 import type { Random } from '../definitions.js';
@@ -30,76 +29,70 @@
 import { copyingMs, longPromptWorkMs, readingMs, shortPromptWorkMs } from './work-estimate.js';
 
 /**
- * Reading a shared part again costs so many times its reading, beside the reading itself: a request goes to another
- * engine when its own would let it wait as much longer.
+ * Penalty for reading a shared prefix that an engine has not cached, as a multiple of the reading time. A request leaves an
+ * engine that has it cached only when it would wait longer there by this penalty.
  */
 const rereadWeight = 12;
-/** Copying a part from another engine costs a fifteenth of reading it again. */
+/** The same penalty for copying a prefix, a fifteenth of that for reading it. */
 const copyWeight = rereadWeight / 15;
-/** Fewer tokens are read again rather than copied: both take a few milliseconds. */
-const leastCopiedTokens = 100;
-/** Requests that share more tokens than this meet on one engine, rather than go where a connection is open. */
-const meetingTokens = 1000;
+/** Fewer tokens are read rather than copied, as both take only a few milliseconds. */
+const minCopiedTokens = 100;
+/** Requests that share more tokens than this prefer their affinity engines over engines with idle connections. */
+const minAffinityTokens = 1000;
+/** Bonus of an affinity engine, as a multiple of the reading time of the shared prefix: later requests reuse it there. */
+const affinityBonusFactor = 3;
+/** Penalty for each request running at the engine, which slows its steps slightly, in milliseconds. */
+const runningPenaltyMs = 1;
 /**
- * A request may wait so many times the reading of what it shares to read it where the next ones look for it: so many of them find it
- * there before it gives way.
+ * Costs are rounded to steps of at least this size, in milliseconds; the tie-break score then spreads the requests. Steps grow with
+ * the age of gossip, as otherwise all VMs would choose the same engine until new gossip arrives.
  */
-const meetingShare = 3;
-/** Each request that runs beside slows a step a little, in milliseconds of waiting. */
-const runningMs = 1;
-/**
- * Costs that differ by less are taken for equal, in milliseconds; hashing then spreads the requests.
- * Older news blur costs more: without this all VMs would choose the same engine until they hear.
- */
-const leastCostStepMs = 8;
-const costStepOfNewsAge = 0.1;
-/** A short request goes to the engines of long ones when its own would let it wait this share of its target longer. */
-const crossShare = 0.6;
-/** The same for a long prompt that the streams there can bear: it must only be worth the trouble. */
-const longCrossShare = 0.2;
-/**
- * Age of news in the mean, as a share of the greatest. In a fleet of 87 VMs they are up to half a second old: taken for
- * new, they made a queue look a quarter of a second longer: 0.040 of an overload were refused, 0.013 before refusals grew stricter.
- */
-const meanNewsAge = 0.5;
-/** An engine is weighed in any case if it keeps this share of what a request shares with others. */
-const muchKept = 0.5;
-/** More than any random score. */
+const minCostStepMs = 8;
+const costStepPerGossipAge = 0.1;
+/** A short prompt spills over to the long-prompt pool when that saves this share of its target in wait. */
+const shortSpilloverShare = 0.6;
+/** The same for a long prompt that the streams of the short-prompt pool tolerate. */
+const longSpilloverShare = 0.2;
+/** Mean age of gossip as a share of its maximum age; engines have worked off part of a reported queue since. */
+const meanGossipAgeShare = 0.5;
+/** An engine is always scored if it has cached at least this share of the shared prefix. */
+const minCachedShare = 0.5;
+/** Tie-break bonus of engines with an idle connection; exceeds any random score. */
 const connectedScore = 1;
 
-const nothingKept: CachedTokens = { cached: 0, copyable: 0 };
+const nothingCached: CachedTokens = { cached: 0, copyable: 0 };
 
 export class EnginePlacement {
-	private readonly divisions = new Map<string, EnginePartition>();
+	private readonly partitions = new Map<string, EnginePartition>();
 
-	/** @param hasFree whether a connection to an address is open and unused: new ones are slow and dear */
+	/** @param hasIdleConnection whether a connection to an address is open and unused; opening one is slow */
 	constructor(
 		private readonly random: Random,
 		private readonly fleet: FleetView,
 		private readonly costs: CostModel,
-		private readonly hasFree: (address: string) => boolean,
+		private readonly hasIdleConnection: (address: string) => boolean,
 	) {}
 
-	/** @param engines those of the service that may be given work, in an order all VMs share */
+	/** @param engines eligible engines of the service, in an order that all VMs share */
 	choose(req: PlacementRequest, engines: readonly Engine[], now: number): Placement | Refusal {
-		const open = engines.filter((engine) => {
+		const usable = engines.filter((engine) => {
 			return !req.tried.has(engine.id) && engine.health.isAvailable(now) && req.admits(engine);
 		});
-		if (open.length === 0) {
+		if (usable.length === 0) {
 			return { refusal: 'no engine of the service can be used', retryAfterS: refusalRetryAfterS };
 		}
 		return req.segments.length === 0
-			? this.leastRunning(open)
-			: this.byPrompt(req, engines, open, now);
+			? this.placeByLoad(usable)
+			: this.placeByPrompt(req, engines, usable, now);
 	}
 
-	/** The one with the fewest of the fleet's requests; of several any. */
-	private leastRunning(open: readonly Engine[]): Placement {
-		const loads = open.map(
+	/** Chooses the engine with the fewest running requests per slot, at random among equals. */
+	private placeByLoad(usable: readonly Engine[]): Placement {
+		const loads = usable.map(
 			(engine) => this.fleet.workAt(engine.incarnationKey).running / engine.registration.slots,
 		);
 		const least = Math.min(...loads);
-		const best = open.filter((_, at) => loads[at] === least);
+		const best = usable.filter((_, index) => loads[index] === least);
 		const engine = best[Math.floor(this.random.next() * best.length)] as Engine;
 		const reason = `least running ${least.toFixed(2)}`;
 		const work = this.fleet.workAt(engine.incarnationKey);
@@ -115,208 +108,221 @@
 		return { engine, ...tokens, work, reason };
 	}
 
-	private byPrompt(
+	private placeByPrompt(
 		req: PlacementRequest,
 		engines: readonly Engine[],
-		open: readonly Engine[],
+		usable: readonly Engine[],
 		now: number,
 	): Placement | Refusal {
 		const costs = this.costs.of(req.service);
-		const kept = this.keptOf(req, open);
+		const cachedPrefixes = this.cachedPrefixesOf(req, usable);
 		const isLong = isLongPrompt(req.promptTokens, req.tightestPauseMs, costs);
-		const division = this.divisionOf(req.service, divided(engines, req), now);
-		const side = isLong ? division.longPool : division.shortPool;
+		const pools = this.poolsOf(req.service, partitionable(engines, req), now);
+		const pool = isLong ? pools.longPool : pools.shortPool;
 		const shared = req.segments.slice(0, -1);
 		const sharedTokens = tokensOf(shared);
-		const key = shared.at(-1)?.id ?? req.segments[0]?.id ?? '';
-		const meetingMs = readingMs(costs, sharedTokens) * meetingShare;
-		const weighing = { req, kept, sharedTokens, key, meetingMs, now };
-		const best = this.bestOf(weighing, open, side, isLong);
-		const awaited = { queueMs: this.queueLeftMs(best), ownMs: best.ownReadingMs };
+		const affinityKey = shared.at(-1)?.id ?? req.segments[0]?.id ?? '';
+		const affinityBonusMs = readingMs(costs, sharedTokens) * affinityBonusFactor;
+		const context = {
+			req,
+			cachedPrefixes,
+			sharedTokens,
+			affinityKey,
+			affinityBonusMs,
+			now,
+		};
+		const best = this.cheapestOf(context, usable, pool, isLong);
+		const expected = { queueMs: this.queueLeftMs(best), ownReadingMs: best.ownReadingMs };
 		if (
 			req.isLeastUrgentTier &&
-			shouldRefuse(awaited, req.targetMs, this.busyShare(isLong, division.longCapacity))
+			shouldRefuse(expected, req.targetMs, this.utilization(isLong, pools.longCapacity))
 		) {
-			const refusal = `the prompt would wait ${Math.round(awaited.queueMs)} ms for others`;
+			const refusal = `the prompt would wait ${Math.round(expected.queueMs)} ms for others`;
 			return { refusal, retryAfterS: refusalRetryAfterS };
 		}
-		const { engine, uncachedTokens: uncached, waitMs } = best;
-		const size = { promptTokens: uncached, answerTokens: req.answerTokens };
+		const { engine, uncachedTokens, waitMs } = best;
+		const size = { promptTokens: uncachedTokens, answerTokens: req.answerTokens };
 		const workMs = isLong ? longPromptWorkMs : shortPromptWorkMs;
 		this.fleet.recordArrival(workMs(costs, size, engine.registration.slots), isLong);
 		return {
 			engine,
-			promptTokens: uncached,
-			readingMs: readingMs(best.costs, uncached),
+			promptTokens: uncachedTokens,
+			readingMs: readingMs(best.costs, uncachedTokens),
 			waitMs,
 			readMsPerToken: best.costs.readMsPerToken,
 			pace: this.costs.paces.pace(req.service, engine.ref, now),
 			cachedTokens: best.cachedTokens,
 			copiedTokens: best.copiedTokens,
-			copyFrom: best.copiedTokens > 0 ? kept.copyFrom : undefined,
+			copyFrom: best.copiedTokens > 0 ? cachedPrefixes.copyFrom : undefined,
 			work: best.work,
 			reason: `${isLong ? 'long' : 'short'} prompt, wait ${Math.round(waitMs)} ms`,
 		};
 	}
 
-	/** The cheapest engine of the request's side, or of all where that one is much cheaper. */
-	private bestOf(
-		weighing: ScoringContext,
-		open: readonly Engine[],
-		side: ReadonlySet<string>,
+	/** The cheapest engine of the request's pool, or of the other pool where spillover saves enough wait. */
+	private cheapestOf(
+		context: ScoringContext,
+		usable: readonly Engine[],
+		pool: ReadonlySet<string>,
 		isLong: boolean,
 	): Candidate {
-		const crossMs = weighing.req.targetMs * (isLong ? longCrossShare : crossShare);
-		const own = open.filter((engine) => side.has(engine.id));
-		const ownBest = cheapest(this.weighed(weighing, own, homesFor(weighing, own)));
-		if (ownBest && ownBest.waitMs < crossMs) {
+		const spilloverMs = context.req.targetMs * (isLong ? longSpilloverShare : shortSpilloverShare);
+		const own = usable.filter((engine) => pool.has(engine.id));
+		const ownBest = cheapest(this.score(context, own, affinityEnginesFor(context, own)));
+		if (ownBest && ownBest.waitMs < spilloverMs) {
 			return ownBest;
 		}
-		const others = open.filter((engine) => !side.has(engine.id));
-		const weighed = this.weighed(weighing, others, []);
-		// Engines of long prompts are overloaded in a burst of them, while those of short ones have time.
-		const isBearable = ({ queueMs, ownReadingMs: ownMs, costs }: Candidate) => {
-			return queueMs + ownMs <= maxReadingMs(weighing.req.tightestPauseMs, costs);
+		const others = usable.filter((engine) => !pool.has(engine.id));
+		const candidates = this.score(context, others, []);
+		// A long prompt spills over only where it does not stall the streams of the short-prompt pool.
+		const isTolerable = ({ queueMs, ownReadingMs, costs }: Candidate) => {
+			return queueMs + ownReadingMs <= maxReadingMs(context.req.tightestPauseMs, costs);
 		};
-		const otherBest = cheapest(isLong && ownBest ? weighed.filter(isBearable) : weighed);
+		const otherBest = cheapest(isLong && ownBest ? candidates.filter(isTolerable) : candidates);
 		if (!ownBest || !otherBest) {
 			return (ownBest ?? otherBest) as Candidate;
 		}
-		return otherBest.waitMs + crossMs < ownBest.waitMs ? otherBest : ownBest;
+		return otherBest.waitMs + spilloverMs < ownBest.waitMs ? otherBest : ownBest;
 	}
 
-	/** A few at random, all that keep much of what is shared, and those where such prompts meet. */
-	private weighed(
-		weighing: ScoringContext,
+	/** Scores a random sample of the engines, those with much of the prefix cached, and the affinity engines. */
+	private score(
+		context: ScoringContext,
 		engines: readonly Engine[],
-		homes: readonly Engine[],
+		affinityEngines: readonly Engine[],
 	): Candidate[] {
-		const { cachedPrefixes: kept, sharedTokens } = weighing;
-		const much = sharedTokens * muchKept;
-		const keeps = (engine: Engine) => {
-			const { cached } = kept.byEngine.get(engine.ref) ?? nothingKept;
-			return (much > 0 && cached >= much) || homes.includes(engine);
+		const { cachedPrefixes, sharedTokens } = context;
+		const minCached = sharedTokens * minCachedShare;
+		const isPreferred = (engine: Engine) => {
+			const { cached } = cachedPrefixes.byEngine.get(engine.ref) ?? nothingCached;
+			return (minCached > 0 && cached >= minCached) || affinityEngines.includes(engine);
 		};
-		const sample = sampleEngines(engines, keeps, this.random);
-		return sample.map((engine) => this.weigh(weighing, engine, homes.indexOf(engine)));
+		const sample = sampleEngines(engines, isPreferred, this.random);
+		return sample.map((engine) =>
+			this.scoreEngine(context, engine, affinityEngines.indexOf(engine)),
+		);
 	}
 
-	/** What is left of a queue now: news are half as old as they can be in the mean, and engines read on meanwhile. */
+	/** Estimated remainder of a queue; the engine has worked off part of it since it was reported. */
 	private queueLeftMs({ queueMs }: Candidate): number {
-		return Math.max(0, queueMs - this.fleet.maxGossipAgeMs * meanNewsAge);
+		return Math.max(0, queueMs - this.fleet.maxGossipAgeMs * meanGossipAgeShare);
 	}
 
-	/** How busy long prompts keep the engines that read them: 1 is all of the time; 0 for a short prompt. */
-	private busyShare(isLong: boolean, longCapacity: number): number {
+	/** Utilization of the long-prompt pool, where 1 is fully busy; 0 for a short prompt. */
+	private utilization(isLong: boolean, longCapacity: number): number {
 		return isLong ? this.fleet.demand().long / longCapacity : 0;
 	}
 
-	private keptOf(req: PlacementRequest, open: readonly Engine[]): CachedPrefixes {
-		const by = this.fleet.cachedTokensByEngine(req.segments.slice(0, -1));
-		const copyableOf = (engine: Engine) => (by.get(engine.ref) ?? nothingKept).copyable;
-		const copyable = Math.max(...open.map(copyableOf));
-		// Any of them, since copies from one engine wait for each other.
-		const sources = open.filter((engine) => copyableOf(engine) === copyable);
+	private cachedPrefixesOf(req: PlacementRequest, usable: readonly Engine[]): CachedPrefixes {
+		const byEngine = this.fleet.cachedTokensByEngine(req.segments.slice(0, -1));
+		const copyableOf = (engine: Engine) => (byEngine.get(engine.ref) ?? nothingCached).copyable;
+		const copyableTokens = Math.max(...usable.map(copyableOf));
+		// Chosen at random, since copies from the same engine queue up.
+		const sources = usable.filter((engine) => copyableOf(engine) === copyableTokens);
 		const copyFrom = sources[Math.floor(this.random.next() * sources.length)];
-		return { byEngine: by, copyableTokens: copyable, copyFrom };
+		return { byEngine, copyableTokens, copyFrom };
 	}
 
-	/** @param homeRank place among the engines where its shared parts meet; negative for others */
-	private weigh(weighing: ScoringContext, engine: Engine, homeRank: number): Candidate {
-		const { req, cachedPrefixes: kept, sharedTokens, affinityKey: key, now } = weighing;
+	/** @param affinityRank index among the affinity engines; negative for other engines */
+	private scoreEngine(context: ScoringContext, engine: Engine, affinityRank: number): Candidate {
+		const { req, cachedPrefixes, sharedTokens, affinityKey, now } = context;
 		const costs = this.costs.ofEngine(req.service, engine.ref, now);
 		const work = this.fleet.workAt(engine.incarnationKey);
-		const { cached } = kept.byEngine.get(engine.ref) ?? nothingKept;
-		const missing = kept.copyableTokens - cached;
-		const copied = missing >= leastCopiedTokens ? missing : 0;
-		const uncached = Math.max(0, req.promptTokens - cached - copied);
-		const { slotOccupancyMs: heldMs } = costs;
+		const { cached } = cachedPrefixes.byEngine.get(engine.ref) ?? nothingCached;
+		const missing = cachedPrefixes.copyableTokens - cached;
+		const copiedTokens = missing >= minCopiedTokens ? missing : 0;
+		const uncachedTokens = Math.max(0, req.promptTokens - cached - copiedTokens);
+		const { slotOccupancyMs } = costs;
 		const { slots } = engine.registration;
 		const slotMs = slotWaitMs({
 			...work,
 			slots,
-			slotOccupancyMs: heldMs,
+			slotOccupancyMs,
 			gossipAgeMs: this.fleet.maxGossipAgeMs,
 		});
 		const queueMs = work.promptTokens * costs.readMsPerToken + slotMs;
-		const ownMs = readingMs(costs, uncached) + copyingMs(costs, copied);
-		const waitMs = costs.firstEventOverheadMs + queueMs + ownMs;
-		const unread = sharedTokens - cached - copied;
-		const reread = (unread * rereadWeight + copied * copyWeight) * costs.readMsPerToken;
-		const met = homeRank < 0 ? 0 : weighing.affinityBonusMs / (homeRank + 1);
-		const pauses = pausePenaltyMs(costs, req.targetPauseMs, req.targetMs);
-		const cost = waitMs + work.running * runningMs + reread + pauses - met;
+		const ownReadingMs = readingMs(costs, uncachedTokens) + copyingMs(costs, copiedTokens);
+		const waitMs = costs.firstEventOverheadMs + queueMs + ownReadingMs;
+		const unread = sharedTokens - cached - copiedTokens;
+		const cachePenaltyMs =
+			(unread * rereadWeight + copiedTokens * copyWeight) * costs.readMsPerToken;
+		const bonusMs = affinityRank < 0 ? 0 : context.affinityBonusMs / (affinityRank + 1);
+		const pauseMs = pausePenaltyMs(costs, req.targetPauseMs, req.targetMs);
+		const costMs = waitMs + work.running * runningPenaltyMs + cachePenaltyMs + pauseMs - bonusMs;
 		return {
 			engine,
 			work,
 			costs,
 			queueMs,
-			ownReadingMs: ownMs,
+			ownReadingMs,
 			waitMs,
-			costSteps: Math.round(cost / this.costStepMs),
-			uncachedTokens: uncached,
+			costSteps: Math.round(costMs / this.costStepMs),
+			uncachedTokens,
 			cachedTokens: cached,
-			copiedTokens: copied,
-			tieBreakScore: this.scoreOf(engine, sharedTokens, key),
+			copiedTokens,
+			tieBreakScore: this.tieBreakScoreOf(engine, sharedTokens, affinityKey),
 		};
 	}
 
 	/**
-	 * Decides between equal costs. Requests that share much meet by hashing. Others go where a connection is open, and of
-	 * those anywhere: all that share a common greeting would go to one engine.
+	 * Breaks ties between equal costs. Requests that share many tokens follow rendezvous hashing. Others prefer idle connections and
+	 * are spread at random, as hashing would send all requests with a common system prompt to one engine.
 	 */
-	private scoreOf(engine: Engine, sharedTokens: number, key: string): number {
-		if (sharedTokens > meetingTokens) {
-			return rendezvous.scoreOf(key, engine.id);
+	private tieBreakScoreOf(engine: Engine, sharedTokens: number, affinityKey: string): number {
+		if (sharedTokens > minAffinityTokens) {
+			return rendezvous.scoreOf(affinityKey, engine.id);
 		}
-		const isConnected = this.hasFree(engine.registration.address);
+		const isConnected = this.hasIdleConnection(engine.registration.address);
 		return this.random.next() + (isConnected ? connectedScore : 0);
 	}
 
 	private get costStepMs(): number {
-		return Math.max(leastCostStepMs, this.fleet.maxGossipAgeMs * costStepOfNewsAge);
+		return Math.max(minCostStepMs, this.fleet.maxGossipAgeMs * costStepPerGossipAge);
 	}
 
-	private divisionOf(service: string, engines: readonly Engine[], now: number): PromptPools {
-		let division = this.divisions.get(service);
-		if (!division) {
-			division = new EnginePartition();
-			this.divisions.set(service, division);
+	private poolsOf(service: string, engines: readonly Engine[], now: number): PromptPools {
+		let partition = this.partitions.get(service);
+		if (!partition) {
+			partition = new EnginePartition();
+			this.partitions.set(service, partition);
 		}
-		const { paces: speeds } = this.costs;
-		const capacityOf = ({ ref }: Engine) => 1 / speeds.steadyPace(service, ref, now).reading;
-		return division.partition(engines, this.fleet.demand(), capacityOf);
+		const { paces } = this.costs;
+		const capacityOf = ({ ref }: Engine) => 1 / paces.steadyPace(service, ref, now).reading;
+		return partition.partition(engines, this.fleet.demand(), capacityOf);
 	}
 }
 
 /**
- * Where a prompt meets others that share parts with it. Few engines are all weighed, and what each keeps is heard in time; and
- * what is known to be kept is found where that is.
+ * Affinity engines of a prompt. None where all engines are scored anyway, the shared prefix is short, or an engine is known to have
+ * it cached.
  */
-function homesFor(weighing: ScoringContext, engines: readonly Engine[]): readonly Engine[] {
-	const { cachedPrefixes: kept, sharedTokens, affinityKey: key } = weighing;
-	const mayMiss = engines.length > sampleSize && sharedTokens > meetingTokens;
-	const isKnown = kept.copyableTokens >= sharedTokens * muchKept;
-	return mayMiss && !isKnown ? affinityEnginesOf(key, engines) : [];
+function affinityEnginesFor(
+	context: ScoringContext,
+	engines: readonly Engine[],
+): readonly Engine[] {
+	const { cachedPrefixes, sharedTokens, affinityKey } = context;
+	const needsAffinity = engines.length > sampleSize && sharedTokens > minAffinityTokens;
+	const isCached = cachedPrefixes.copyableTokens >= sharedTokens * minCachedShare;
+	return needsAffinity && !isCached ? affinityEnginesOf(affinityKey, engines) : [];
 }
 
 /**
- * Engines that are divided between long and short prompts. One that takes few requests, whatever they are, would leave its side short;
- * it is used beside both.
+ * Engines to partition between the pools. Rate-limited engines are left out, as their capacity would be overestimated; they serve
+ * as spillover for both pools.
  */
-function divided(engines: readonly Engine[], req: PlacementRequest): readonly Engine[] {
-	const free = engines.filter((engine) => !req.isLimited(engine));
-	return free.length > 0 ? free : engines;
+function partitionable(engines: readonly Engine[], req: PlacementRequest): readonly Engine[] {
+	const unlimited = engines.filter((engine) => !req.isLimited(engine));
+	return unlimited.length > 0 ? unlimited : engines;
 }
 
 function cheapest(candidates: readonly Candidate[]): Candidate | undefined {
 	let best: Candidate | undefined;
 	for (const candidate of candidates) {
-		const equal = best !== undefined && candidate.costSteps === best.costSteps;
+		const isEqual = best !== undefined && candidate.costSteps === best.costSteps;
 		if (
 			!best ||
 			candidate.costSteps < best.costSteps ||
-			(equal && candidate.tieBreakScore > best.tieBreakScore)
+			(isEqual && candidate.tieBreakScore > best.tieBreakScore)
 		) {
 			best = candidate;
 		}
@@ -324,6 +330,6 @@
 	return best;
 }
 
-function tokensOf(parts: readonly PromptSegment[]): number {
-	return parts.reduce((sum, part) => sum + part.tokens, 0);
+function tokensOf(segments: readonly PromptSegment[]): number {
+	return segments.reduce((sum, segment) => sum + segment.tokens, 0);
 }
--- a/src/core/engines/recent-answers.ts
+++ b/src/core/engines/recent-answers.ts
@@ -1,19 +1,19 @@
 /**
- * Counts of the answers that one VM had of each engine in the last seconds.
+ * Counts recent answers of each engine to this VM over a sliding window.
  * @module
  */
 import type { Clock } from '../definitions.js';
 import type { EngineRef } from '../fleet/types.js';
 
-/** Answers are remembered for one to two such spans, in milliseconds. */
-const spanMs = 1000;
+/** Answers count for one to two windows of this length, in milliseconds. */
+const windowMs = 1000;
 
-/** Answers of one engine to one VM, or to several. */
+/** Counts of the answers of one engine to one or several VMs. */
 export interface EngineAnswerCounts {
 	engine: EngineRef;
 	failed: number;
 	served: number;
-	/** VMs that it failed. */
+	/** Number of VMs that saw a failure. */
 	failingVms: number;
 }
 
@@ -49,10 +49,10 @@
 export class RecentAnswers {
 	private current = new Map<EngineRef, Counts>();
 	private previous = new Map<EngineRef, Counts>();
-	private startedAt: number;
+	private windowStartedAt: number;
 
 	constructor(private readonly clock: Clock) {
-		this.startedAt = clock.monotonic();
+		this.windowStartedAt = clock.monotonic();
 	}
 
 	recordFailure(ref: EngineRef): void {
@@ -65,28 +65,28 @@
 
 	of(ref: EngineRef): EngineAnswerCounts {
 		this.sweep();
-		const spans = [this.current.get(ref), this.previous.get(ref)];
-		const failed = spans.reduce((sum, span) => sum + (span?.failed ?? 0), 0);
-		const served = spans.reduce((sum, span) => sum + (span?.served ?? 0), 0);
+		const windows = [this.current.get(ref), this.previous.get(ref)];
+		const failed = windows.reduce((sum, counts) => sum + (counts?.failed ?? 0), 0);
+		const served = windows.reduce((sum, counts) => sum + (counts?.served ?? 0), 0);
 		return { engine: ref, failed, served, failingVms: failed > 0 ? 1 : 0 };
 	}
 
-	/** Engines that failed a request. */
+	/** Engines with at least one failure. */
 	failingEngines(): EngineRef[] {
 		this.sweep();
 		const all = [...this.current, ...this.previous];
 		return all.filter(([, { failed }]) => failed > 0).map(([ref]) => ref);
 	}
 
-	/** Forgets what is old. */
+	/** Rotates the windows when the current one is over. */
 	sweep(): void {
-		const passedMs = this.clock.monotonic() - this.startedAt;
-		if (passedMs < spanMs) {
+		const elapsedMs = this.clock.monotonic() - this.windowStartedAt;
+		if (elapsedMs < windowMs) {
 			return;
 		}
-		this.previous = passedMs < 2 * spanMs ? this.current : new Map();
+		this.previous = elapsedMs < 2 * windowMs ? this.current : new Map();
 		this.current = new Map();
-		this.startedAt = this.clock.monotonic();
+		this.windowStartedAt = this.clock.monotonic();
 	}
 
 	private countsOf(ref: EngineRef): Counts {
--- a/src/core/engines/slot-wait.ts
+++ b/src/core/engines/slot-wait.ts
@@ -1,41 +1,37 @@
 /**
- * How long a request waits for a slot at an engine, where what is known of it is a little old: other VMs place requests there
- * meanwhile, and some end.
+ * Estimates how long a request waits for a slot at an engine, given that gossip about the engine is slightly old: in the
+ * meantime other VMs place requests there, and some end.
  * @module
  */
 
-/** Spread of a normal distribution over the width of the soft step that stands for it. */
-const softness = 0.6;
+/** Width of the softplus that approximates a normal distribution, relative to its standard deviation. */
+const softplusWidth = 0.6;
 
 export interface SlotUsage {
-	/** Requests at the engine as far as is known, and those that it works on at once. */
+	/** Known number of requests at the engine. */
 	running: number;
+	/** Maximum number of concurrent requests. */
 	slots: number;
-	/** For how long a request holds its slot there, in milliseconds. */
+	/** Mean time for which a request holds its slot, in milliseconds. */
 	slotOccupancyMs: number;
-	/** Age of what is known, in milliseconds. */
+	/** Age of the gossip about the engine, in milliseconds. */
 	gossipAgeMs: number;
 }
 
-/** Milliseconds to expect. */
-export function slotWaitMs(use: SlotUsage): number {
-	return (requestsBefore(use) * use.slotOccupancyMs) / use.slots;
+/** Expected wait in milliseconds. */
+export function slotWaitMs(usage: SlotUsage): number {
+	return (expectedExcess(usage) * usage.slotOccupancyMs) / usage.slots;
 }
 
-/** Requests without a slot to expect, with the new one; some begin and as many end at random in the age of the news. */
-function requestsBefore({
-	running,
-	slots,
-	slotOccupancyMs: heldMs,
-	gossipAgeMs: newsAgeMs,
-}: SlotUsage): number {
+/** Expected number of requests without a slot, including the new one, while others start and end at random. */
+function expectedExcess({ running, slots, slotOccupancyMs, gossipAgeMs }: SlotUsage): number {
 	const excess = running + 1 - slots;
-	const changes = (Math.max(0, running) * newsAgeMs) / heldMs;
-	const width = softness * Math.sqrt(2 * changes);
+	const changes = (Math.max(0, running) * gossipAgeMs) / slotOccupancyMs;
+	const width = softplusWidth * Math.sqrt(2 * changes);
 	return width === 0 ? Math.max(0, excess) : width * softPlus(excess / width);
 }
 
-/** 0 far below 0, the number itself far above. */
+/** Smooth approximation of max(0, value). */
 function softPlus(value: number): number {
 	return Math.max(0, value) + Math.log1p(Math.exp(-Math.abs(value)));
 }
--- a/src/core/engines/types.ts
+++ b/src/core/engines/types.ts
@@ -1,24 +1,24 @@
 /**
- * What is known of an engine from its own registration.
+ * Registration of an engine in the store.
  * @module
  */
 
-/** One start of an endpoint's process; a later one may have the same id. */
+/** One incarnation of an engine; a later one may have the same id. */
 export interface EngineRegistration {
 	id: string;
-	/** When this start was, in Unix milliseconds of the endpoint's own clock; undefined where it does not tell. */
+	/** Start time in Unix milliseconds of the engine's own clock; undefined where it is not registered. */
 	bornAt?: number;
 	service: string;
-	/** IP number and port. */
+	/** IP address and port. */
 	address: string;
 	/** Failure domain. */
 	domain: string;
-	/** Requests that it works on at once. */
+	/** Maximum number of concurrent requests. */
 	slots: number;
-	/** It finishes what it has and takes nothing new. */
+	/** It finishes its requests and accepts no new ones. */
 	draining: boolean;
-	/** It costs less than others, and may be taken away at short notice. */
+	/** It runs on spot capacity, which is cheaper but may be withdrawn at short notice. */
 	spot: boolean;
-	/** It is slow for so much longer after its start, in milliseconds. */
+	/** Remaining warm-up time during which it is slow, in milliseconds. */
 	warmupMs: number;
 }
--- a/src/core/engines/undisturbed-pause-filter.ts
+++ b/src/core/engines/undisturbed-pause-filter.ts
@@ -1,18 +1,18 @@
 /**
- * Picks out of a stream's pauses those in which its engine did nothing but steps, which show its pace.
+ * Selects the pauses of a stream that were not stretched by prompts being read at the same engine.
  * @module
  */
 
-/** The shortest of so many pauses in a row counts: a long prompt that is read beside lengthens one or two. */
-const inRow = 3;
+/** Length of a run of pauses of which the shortest is kept: a concurrent long prompt stretches one or two. */
+const runLength = 3;
 
 export class UndisturbedPauseFilter {
 	private count = 0;
 	private shortestMs = Number.POSITIVE_INFINITY;
 
 	/**
-	 * @param isBesidePrompts prompts wait at the engine, as far as is known
-	 * @returns a pause in milliseconds that shows the engine's pace; undefined for most
+	 * @param isBesidePrompts whether prompts are known to wait at the engine
+	 * @returns the shortest pause of a completed run, in milliseconds; undefined in between
 	 */
 	add(ms: number, isBesidePrompts: boolean): number | undefined {
 		if (isBesidePrompts) {
@@ -21,7 +21,7 @@
 		}
 		this.count++;
 		this.shortestMs = Math.min(this.shortestMs, ms);
-		return this.count < inRow ? undefined : this.clear();
+		return this.count < runLength ? undefined : this.clear();
 	}
 
 	private clear(): number {
--- a/src/core/engines/work-estimate.ts
+++ b/src/core/engines/work-estimate.ts
@@ -1,29 +1,28 @@
 /**
- * How much work a request is for a model engine, from its tokens and what tokens cost on the engines of its
- * service.
+ * Estimates the work of a request from its token counts and the cost estimates of its service.
  * @module
  */
 import type { Pace } from './engine-pace.js';
 
-/** What work costs on the engines of one service; see `cost-model` for where the figures come from. */
+/** Cost of work on the engines of one service, as estimated by `CostModel`. */
 export interface CostEstimates {
-	/** Milliseconds to read one prompt token, with the steps of other requests between. */
+	/** Milliseconds to read one prompt token, including interleaved steps of other requests. */
 	readMsPerToken: number;
-	/** Milliseconds from sending a request to its first event beyond the reading. */
+	/** Milliseconds from sending a request to its first event, apart from waiting and reading. */
 	firstEventOverheadMs: number;
-	/** Milliseconds to copy one token that another engine has read. */
+	/** Milliseconds to copy the cached state of one token from another engine. */
 	copyMsPerToken: number;
-	/** Milliseconds before a copy begins. */
+	/** Setup time of a copy in milliseconds. */
 	copySetupMs: number;
-	/** Milliseconds between two events of a stream beside which no prompt is read. */
+	/** Milliseconds between two events of a stream that no prompt disturbs. */
 	eventIntervalMs: number;
-	/** Milliseconds of a stream for each token that is expected of its answer. */
+	/** Milliseconds of streaming for each expected token of an answer. */
 	answerMsPerToken: number;
-	/** Milliseconds for which a request holds its slot, from the first event to the last, in the mean. */
+	/** Mean time for which a request holds its slot, from its first event to its last, in milliseconds. */
 	slotOccupancyMs: number;
 }
 
-/** Figures of an engine that takes so many times as long as its service's figures say; copies are bound by networks. */
+/** Scales the estimates of a service by the pace of an engine; copies depend on the network and are not scaled. */
 export function scaleByPace(costs: CostEstimates, { reading, steps }: Pace): CostEstimates {
 	return {
 		...costs,
@@ -36,42 +35,42 @@
 }
 
 /**
- * Each token of a prompt is weighed against all before it: a prompt of so many tokens takes twice as long as the
- * same tokens in short ones. A property of the usual architectures at 70 billion parameters, not of a machine.
+ * Prompt length in tokens at which attention, whose cost is quadratic, doubles the reading time. Depends on the model
+ * architecture; the value suits models of about 70 billion parameters.
  */
 const doublingTokens = 85_000;
 
 export interface RequestSize {
-	/** Prompt tokens that the engine has to read. */
+	/** Prompt tokens that the engine has to read, without cached or copied ones. */
 	promptTokens: number;
 	answerTokens: number;
 }
 
-/** Tokens of short prompts that take as long to read as this prompt. */
+/** Number of tokens in short prompts that take as long to read as this prompt. */
 export function effectiveTokens(promptTokens: number): number {
 	return promptTokens * (1 + promptTokens / doublingTokens);
 }
 
-/** How long reading the prompt keeps an engine busy, in milliseconds. */
+/** Time for which reading the prompt keeps an engine busy, in milliseconds. */
 export function readingMs(costs: CostEstimates, promptTokens: number): number {
 	return effectiveTokens(promptTokens) * costs.readMsPerToken;
 }
 
-/** How long an engine takes to copy read tokens from another, in milliseconds. */
+/** Time to copy cached tokens from another engine, in milliseconds. */
 export function copyingMs(costs: CostEstimates, tokens: number): number {
 	return tokens === 0 ? 0 : costs.copySetupMs + tokens * costs.copyMsPerToken;
 }
 
 /**
- * How long a long prompt keeps a whole engine busy, in milliseconds: by reading, or by its slot where those are few.
- * While an engine reads, its steps make tokens beside; the cost of reading has those steps in it.
+ * Time for which a long prompt keeps a whole engine busy, in milliseconds: limited by reading, or by its slot on engines with few
+ * slots. The cost of reading already includes interleaved steps.
  */
 export function longPromptWorkMs(costs: CostEstimates, size: RequestSize, slots: number): number {
 	const reading = readingMs(costs, size.promptTokens);
 	return Math.max(reading, (reading + answeringMs(costs, size)) / slots);
 }
 
-/** How long a short one does: where little is read, an answer takes its share of steps that are made for it. */
+/** Time for which a short prompt keeps a whole engine busy, in milliseconds: its reading, and its share of the steps. */
 export function shortPromptWorkMs(costs: CostEstimates, size: RequestSize, slots: number): number {
 	return readingMs(costs, size.promptTokens) + answeringMs(costs, size) / slots;
 }
--- a/test/features/relay-decisions.feature
+++ b/test/features/relay-decisions.feature
@@ -1,24 +1,24 @@
-Feature: Decisions of the relay, on their own
+Feature: Decisions of the relay in isolation
 
-	Scenario: The longest prefix of a host decides
+	Scenario: The longest matching path prefix of a host selects the route
 		Given routes "a.example /x/", "a.example /x/y/" and "b.example /x/"
 		Then "A.Example:8080" "/x/y/z?q=/x/" goes to "a.example /x/y/"
 		And "a.example" "/x/yz" goes to "a.example /x/"
 		And "b.example" "/x/y/" goes to "b.example /x/"
 		And "a.example" "/xy/" goes nowhere
 
-	Scenario: Urgency at engines follows the route's tier, then the customer's
+	Scenario: Urgency at engines follows the route's tier, then the customer's tier
 		Given routes of tiers 0 and 2 and customers of tiers 0 and 1
 		Then urgency orders them "0/0, 0/1, 2/0, 2/1"
 
-	Scenario: A VM keeps to its share of the fleet's retries
+	Scenario: A VM stays within its share of the fleet's retry budget
 		Given a retry budget of 0.2 and 50 in 10 s shared by 5 VMs
 		When 20 requests come in
 		Then 11 retries are taken of 30
 		When 11 seconds pass
 		Then 8 retries are taken of 30
 
-	Scenario: A VM that knows of no others does not spend the fleet's retries
+	Scenario: A VM without contact to others does not spend the retry budget of the whole fleet
 		Given a fleet size that never was read
 		Then with 1 VM heard and none read it is not known
 		And with 4 VMs heard and none read it is 4
@@ -27,42 +27,42 @@
 		When 61 seconds pass
 		Then with 1 VM heard and 2 read it is 2
 
-	Scenario: A registration that ends while the store is well takes the engine out
+	Scenario: An engine is removed when its registration ends while the store is available
 		Given a directory of engines "a, b"
 		When the registration of "a" ends
 		Then engines "b" are offered
 
-	Scenario: A registration that lapsed with the store has two seconds to come back
+	Scenario: A registration that is missing after a store outage has two seconds to return
 		Given a directory of engines "a, b"
 		When the store is lost and returns without "a"
 		Then engines "a, b" are offered
 		When 2 seconds pass
 		Then engines "b" are offered
 
-	Scenario: A registration that ends after the store's return is gone at once
+	Scenario: A registration that ends after a store outage removes the engine at once
 		Given a directory of engines "a, b"
 		When the store is lost and returns whole
 		And the registration of "a" ends
 		Then engines "b" are offered
 
-	Scenario: An engine that begins again under its id knows nothing of before
+	Scenario: Late gossip about an earlier incarnation of an engine does not apply to the current one
 		Given the fleet has 3 requests at "a"
 		When "a" begins again under its id
 		And news of 3 requests at the "a" before come late
 		Then the fleet has 0 requests at the "a" of now, and it is open
 
-	Scenario: What another writer leaves among the registrations names no engine
+	Scenario: Invalid registrations by other writers do not register an engine
 		Then whatever another writer leaves under "b", engines "a, c" are offered
 		And whatever another writer leaves under "e", engines "a, b, c" are offered
 
-	Scenario: A VM learns from a peer which engines changed
+	Scenario: A VM fetches changed registrations from a peer
 		Given a directory of engines "a, b, c"
 		And a peer with the same directory
 		When engine "d" registers and that of "b" ends
 		Then the peer takes what changed and has engines "a, c, d"
 		And a peer that knows no engines asks for all of them
 
-	Scenario: Heartbeats that say nothing new are no news to peers
+	Scenario: Heartbeats that change nothing cause no gossip and no fetch
 		Given a directory of engines "a, b, c"
 		And a peer with the same directory
 		When each engine writes its registration again
@@ -71,7 +71,7 @@
 		Then the peer has something to fetch, and it was told
 		And a reader of the store whose revision alone rose is no news, but one of another era is
 
-	Scenario: In a large fleet a few VMs read the store for all
+	Scenario: In a large fleet a few VMs read the store for all others
 		Given a fleet of 60 VMs
 		Then 60 of them read the store
 		When 4 of their peers read the store for 3000 ms
@@ -81,7 +81,7 @@
 		Then 60 of them read the store
 		And 4 of them ask a store that is away more often than each second
 
-	Scenario: In an outage of the store VMs that hear each other take turns to try
+	Scenario: In a store outage connected VMs take turns at retrying
 		Given a fleet of 195 VMs
 		When 4 of their peers read the store for 4000 ms, and all hear each other
 		Then 4 of them read the store
@@ -92,7 +92,7 @@
 		When 4 of their peers read the store for 3000 ms, and all hear each other
 		Then 4 of them read the store
 
-	Scenario: A follower of the store that is trying already is not hurried
+	Scenario: A store follower that is already retrying is not sped up
 		Given a follower of a store that refuses every call
 		When it is told each 50 ms for 4000 ms to drop what may hang
 		Then it has called the store at most 16 times
@@ -110,7 +110,7 @@
 		When a text that is no configuration is offered
 		Then version 7 is in force
 
-	Scenario: Late and repeated news of a peer change nothing
+	Scenario: Late and duplicate gossip of a peer is ignored
 		Given a peer that told of 3 running requests at "a" as message 5
 		When its message 4 comes with 9 running requests
 		Then the fleet has 3 running requests at "a"
@@ -119,7 +119,7 @@
 		When 2 seconds pass
 		Then the fleet has 0 running requests at "a"
 
-	Scenario Outline: An ask for a permit that cannot be answered is refused as no message
+	Scenario Outline: A permit request that cannot be answered is rejected as invalid
 		Given an ask for a permit whose <field> is <value>
 		Then the datagram is refused
 
@@ -137,155 +137,155 @@
 			| waitMs  | -1               |
 			| waitMs  | 1e12             |
 
-	Scenario: News survive the way as a datagram, other bytes are refused
+	Scenario: Gossip survives encoding and decoding, and invalid datagrams are rejected
 		Given news of work, reads, demand and costs
 		Then they are the same after encoding and decoding
 		And 1000 random datagrams are refused without an error
 		And a datagram of them with any field of another type is refused
 
-	Scenario: News that come due after the datagrams were closed are dropped
+	Scenario: Gossip that is due after its socket was closed is dropped
 		Given news of work, reads, demand and costs
 		Then a closed sender of datagrams passes over them
 
-	Scenario: Requests that share a prompt meet on one engine
+	Scenario: Requests that share a prompt prefix go to one engine
 		Given 6 model engines
-		When 5 prompts of 6000 tokens share a part of 5000
+		When 5 prompts of 6000 tokens share a segment of 5000
 		Then they are all placed on one engine
 
-	Scenario: A part that a busy engine keeps is copied by another, once it was read
+	Scenario: A segment cached at a busy engine is copied by another engine, once it was read
 		Given 6 model engines
-		When 1 prompt of 6000 tokens shares a part of 5000
-		And the engine of the first has 60000 prompt tokens waiting
+		When 1 prompt of 6000 tokens shares a segment of 5000
+		And the engine of the first prompt has 60000 prompt tokens queued
 		And 1200 ms have passed
-		And 1 prompt of 6000 tokens shares a part of 5000
-		Then the last is placed on another engine, which copies 5000 tokens from the first
-		When a call with a copy is encoded for a caller that names an engine itself
-		Then the head names only the engine to copy from
+		And 1 prompt of 6000 tokens shares a segment of 5000
+		Then the last prompt is placed on another engine, which copies 5000 tokens from the first one
+		When a call with a copy source is encoded for a request whose own headers name one
+		Then the headers name only the chosen copy source
 
-	Scenario: A part can be copied as soon as a first event has come after it
+	Scenario: A segment can be copied as soon as the first event of its request arrived
 		Given 6 model engines
-		When 1 prompt of 6000 tokens shares a part of 5000
-		And the engine of the first has 60000 prompt tokens waiting
+		When 1 prompt of 6000 tokens shares a segment of 5000
+		And the engine of the first prompt has 60000 prompt tokens queued
 		And 100 ms have passed
-		And the first event of the first comes
-		And 1 prompt of 6000 tokens shares a part of 5000
-		Then the last is placed on another engine, which copies 5000 tokens from the first
+		And the first event of the first prompt arrives
+		And 1 prompt of 6000 tokens shares a segment of 5000
+		Then the last prompt is placed on another engine, which copies 5000 tokens from the first one
 
-	Scenario: Copies of a part come from all engines that have read it
-		Given 12 model engines of which 6 have read a part of 5000 tokens and are busy
+	Scenario: Copies of a segment are spread over all engines that have it cached
+		Given 12 model engines of which 6 have cached a segment of 5000 tokens and are busy
 		When 200 prompts of 6000 tokens that share it are placed on the others
-		Then each of the 6 is copied from by 15 or more
+		Then each of the 6 is the source of 15 or more copies
 
-	Scenario: A part that is still being read is not copied
+	Scenario: A segment that is still being read is not copied
 		Given 6 model engines
-		When 1 prompt of 6000 tokens shares a part of 5000
+		When 1 prompt of 6000 tokens shares a segment of 5000
 		And 100 ms have passed
-		And 1 prompt of 6000 tokens shares a part of 5000
+		And 1 prompt of 6000 tokens shares a segment of 5000
 		Then they are all placed on one engine
 
-	Scenario: Of engines that cost alike the one with an open connection is taken, unless a large part is shared
+	Scenario: Among engines of equal cost one with an open connection is preferred, unless a large segment is shared
 		Given 6 model engines
 		When a connection to any one of them is open
-		Then a prompt of 300 tokens that shares 100 goes there
-		But a prompt of 6000 tokens that shares 5000 goes to the same engine whichever is open
+		Then a prompt of 300 tokens that shares 100 is placed there
+		But a prompt of 6000 tokens that shares 5000 is placed on the same engine whichever is open
 
-	Scenario: Long prompts stay away from the engines of short ones
+	Scenario: Long and short prompts are kept on separate engines
 		Given 6 model engines
 		When 20 long and 20 short prompts are placed in turn
 		Then no engine has both
 
-	Scenario: A prompt is long by the pause that reading it causes
+	Scenario: A prompt is long if reading it takes longer than the target pause allows
 		Given 6 model engines
-		Then beside streams that may pause 150 ms a prompt of 8000 tokens is long
-		And beside streams that may pause 150 ms a prompt of 3000 tokens is short
-		And beside streams that may pause 500 ms a prompt of 8000 tokens is short
-		And where no stream has a target pause no prompt is long
+		Then with a target pause of 150 ms a prompt of 8000 tokens is long
+		And with a target pause of 150 ms a prompt of 3000 tokens is short
+		And with a target pause of 500 ms a prompt of 8000 tokens is short
+		And without a target pause no prompt is long
 
-	Scenario: A huge prompt is not refused for the time that it takes itself
+	Scenario: A huge prompt is not refused because of its own reading time
 		Given 6 model engines
-		When a prompt of 40000 tokens with a target of 600 ms comes
+		When a prompt of 40000 tokens with a target of 600 ms arrives
 		Then it is placed
-		Given 6 model engines with 40000 prompt tokens waiting on each
-		When a prompt of 40000 tokens with a target of 600 ms comes
+		Given 6 model engines with 40000 prompt tokens queued at each
+		When a prompt of 40000 tokens with a target of 600 ms arrives
 		Then it is refused
 
-	Scenario: Old news of a queue do not refuse what engines have read since
-		Given 6 model engines with 26000 prompt tokens waiting on each
-		When a prompt of 500 tokens with a target of 600 ms comes
+	Scenario: Refusals account for the work done since a queue was reported
+		Given 6 model engines with 26000 prompt tokens queued at each
+		When a prompt of 500 tokens with a target of 600 ms arrives
 		Then it is refused
-		When news may be 600 ms old
-		And a prompt of 500 tokens with a target of 600 ms comes
+		When gossip is up to 600 ms old
+		And a prompt of 500 tokens with a target of 600 ms arrives
 		Then it is placed
 
-	Scenario: In scarcity long prompts keep a quarter of the engines
-		Given demand of 6 engines by short and 6 by long prompts
-		Then of 8 engines 2 read long prompts
+	Scenario: Under overload the long-prompt pool keeps a quarter of the engines
+		Given a demand of 6 engines by short and 6 by long prompts
+		Then of 8 engines 2 are in the long-prompt pool
 
-	Scenario: On engines with few slots streams count by the slots that they hold
-		Given engines that read 60 tokens a ms and make one in 4 ms
+	Scenario: On engines with few slots the work of a stream is its slot occupancy
+		Given engines that read 60 tokens per ms and generate one in 4 ms
 		Then a short prompt of 400 and an answer of 300 tokens keep an engine of 64 slots busy for 25 to 26 ms
 		And a short prompt of 400 and an answer of 300 tokens keep an engine of 12 slots busy for 106 to 108 ms
 		And a long prompt of 12000 and an answer of 300 tokens keep an engine of 12 slots busy for 227 to 230 ms
 		And a long prompt of 1000 and an answer of 300 tokens keep an engine of 2 slots busy for 606 to 610 ms
 
-	Scenario: Only the least urgent tier is refused for its waiting
-		Given 3 model engines with 600000 prompt tokens waiting on each
-		Then a prompt of the least urgent tier is refused with a time to come back
+	Scenario: Only the least urgent tier is refused because of its wait
+		Given 3 model engines with 600000 prompt tokens queued at each
+		Then a prompt of the least urgent tier is refused with a retry time
 		And a more urgent prompt is placed
 
-	Scenario: An engine that fails three times in a row is closed and tried again by one request
-		Given an engine that failed 3 times in a row
-		Then it admits nothing
+	Scenario: Three failures in a row open the circuit of an engine, and one trial request probes it
+		Given an engine that failed 3 requests in a row
+		Then it is not available
 		When 1 second passes
-		Then it admits 1 request until that one ends
+		Then it is available for 1 request until that one ends
 
-	Scenario: An engine that is too busy is passed over for a moment only
-		Given an engine that rejected 3 times in a row
-		Then it admits nothing
+	Scenario: An engine that rejects requests is skipped only briefly
+		Given an engine that rejected 3 requests in a row
+		Then it is not available
 		When 1 second passes
-		Then it admits 1 request until that one ends
+		Then it is available for 1 request until that one ends
 
-	Scenario: A trial whose caller left does not close the engine for good
-		Given an engine that failed 3 times in a row
+	Scenario: A trial request whose caller left may be repeated
+		Given an engine that failed 3 requests in a row
 		When 1 second passes
-		And its trial ends without a verdict
-		Then it admits 1 request until that one ends
+		And its trial request ends inconclusively
+		Then it is available for 1 request until that one ends
 
-	Scenario: An engine that fell silent with work under way is not chosen
-		Given an engine with a request under way and no word for 700 ms
-		Then it admits nothing
+	Scenario: An engine that is silent with requests in flight is not chosen
+		Given an engine with a request in flight and no bytes for 700 ms
+		Then it is not available
 
-	Scenario: Events are cut where they end, whatever the chunks
+	Scenario: Events are split correctly at any chunk boundaries
 		Given a stream of 20 events with ids
 		Then any cut into chunks yields the same events and ids
 
-	Scenario: A full log is dropped and said, never waited for
+	Scenario: A blocked log drops and counts lines instead of blocking the process
 		Given a log whose reader takes nothing
 		When 100000 lines are written
 		Then writing took less than 2 seconds of waiting
 		And lines were dropped and counted
 
-	Scenario: Lines of a log that is a file outlive a kill in the next turn of the loop
+	Scenario: Lines of a log file survive a kill in the next turn of the event loop
 		When 1000 lines are written to a file and the process is killed
 		Then the file holds 1000 whole lines
 
-	Scenario: The story of a request is told from mixed logs
+	Scenario: The story of a request is reconstructed from the logs of several VMs
 		Given logs of two VMs in which "vm-1" closed engine "e1" and sent request "r1" there
 		Then the story of "r1" names, in order, "store.lost, engine.closed, request.placed, request.ended"
 		And nothing is missing from the story of "r1"
 		And the story of "r2" says that its end is not told
 		And the story of "r3" says that no line names it
 
-	Scenario: The story of a quarantined request names the engines that ended under its content elsewhere
+	Scenario: The story of a quarantined request includes the engines that crashed on the same content elsewhere
 		Given logs in which "r1" broke on "vm-1" and "r2" on "vm-2", and "r3" of the same content was kept from engines
 		Then the story of "r3" names, in order, "request.broken, request.broken, quarantine.entered, request.quarantined"
 		And nothing is missing from the story of "r3"
 
-	Scenario: The story of a request that was refused while all engines rest names what they said
+	Scenario: The story of a request refused while all engines back off includes their notices
 		Given logs in which engines "e1, e2" asked "vm-1" for rest and "r1" was refused there, and "e3" asked "vm-2"
 		Then the story of "r1" names, in order, "engine.notice, engine.notice, request.ended"
 
-	Scenario: Requests are found in logs by what became of them
+	Scenario: Requests are found in logs by their outcome
 		Given a file of logs in which requests ended so
 			| time  | vm   | request | route | engines | outcome   | took_ms |
 			| 10:00 | vm-1 | a       | chat  | e1      | complete  | 40      |
@@ -302,7 +302,7 @@
 	Scenario: Every event that the relay logs is declared
 		Then each event named in the sources of the relay is declared with its fields
 
-	Scenario: VMs that start together stop reading as soon as others read for them
+	Scenario: VMs that start together stop reading the store once others read it for them
 		Given a fleet of 30 VMs
 		When 0 of their peers read the store for 2300 ms
 		Then 30 of them read the store
@@ -311,7 +311,7 @@
 		When 3 of their peers read the store for 800 ms
 		Then 4 of them read the store
 
-	Scenario: What comes while a daemon first reads the store waits for it
+	Scenario: Requests that arrive while a daemon first reads the store are held
 		Given a daemon that has just started
 		When requests "a" and "b" come and the caller of "b" leaves
 		And the daemon has read the store after 100 ms
@@ -320,9 +320,9 @@
 		And requests "c" and "d" come and the caller of "d" leaves
 		Then "c, d" went on, not held
 
-	Scenario: A placement costs the same in a large fleet
-		Given 82 model engines and news of work there from 98 peers
+	Scenario: The cost of a placement does not grow with the fleet
+		Given 82 model engines and gossip about their work from 98 peers
 		Then a placement reads the clock at most 500 times
-		And the fleet's work at each engine is the sum of what the peers told last
+		And the fleet's work at each engine is the sum of what each peer last reported
 		When 2 seconds pass
 		Then the fleet has no work at any engine
