--- a/test/steps/burst-replay.ts
+++ b/test/steps/burst-replay.ts
@@ -1,6 +1,6 @@
 /**
- * A burst of long prompts that share parts, before engines with few slots, placed by many VMs that hear of each
- * other's work only by news: all in simulated time.
+ * Replays a burst of long prompts with shared segments in simulated time, on engines with few slots and placed by many VMs
+ * that know of each other's work only by gossip.
  * @module
  */
 import { Engine } from '../../src/core/engines/engine.js';
@@ -9,7 +9,7 @@
 import type { Placement, PlacementRequest } from '../../src/core/engines/placement-types.js';
 import type { PromptSegment } from '../../src/core/relay/definitions.js';
 import { BatchEngine } from '../stand-ins/batch-engine.js';
-import { observed } from './observed-answer.js';
+import { observedRequest } from './observed-request.js';
 import { entry, seededRandom, unlimited } from './relay-fakes.js';
 import type { SimulatedVm } from './simulated-fleet.js';
 import { SimulatedFleet } from './simulated-fleet.js';
@@ -17,10 +17,10 @@
 const service = 'pool';
 const copyPerMs = 200;
 const copySetupMs = 4;
-/** Resolution of the replay. */
+/** Time step of the replay. */
 const stepMs = 5;
-/** Of these every long prompt shares one, then one of its subjects'. */
-const baseParts = 4;
+/** Number of base segments; every long prompt starts with one of them, followed by that of its subject. */
+const baseSegments = 4;
 
 interface Kind {
 	ownTokens: number;
@@ -29,7 +29,7 @@
 	pauseMs: number;
 }
 
-/** What callers ask and what engines do. */
+/** Requests of callers, and speed of the engines. */
 export interface Workload {
 	slots: number;
 	readPerMs: number;
@@ -37,14 +37,14 @@
 	subjects: number;
 	baseTokens: number;
 	subjectTokens: number;
-	/** What short prompts share besides a greeting. */
+	/** Segments that short prompts share besides a greeting. */
 	topics?: { count: number; tokens: number };
 	long: Kind;
 	short: Kind;
 }
 
 /** Summaries of notices with a tight target, on engines with few slots. */
-export const notices: Workload = {
+export const noticeSummaries: Workload = {
 	slots: 12,
 	readPerMs: 42,
 	stepMs: 5.5,
@@ -55,8 +55,8 @@
 	short: { ownTokens: 630, answerTokens: 290, targetMs: 600, pauseMs: 250 },
 };
 
-/** Recaps of episodes that may take two seconds, beside questions that may take a quarter. */
-export const recaps: Workload = {
+/** Recaps of episodes with a target of two seconds, beside questions with a target of a quarter. */
+export const episodeRecaps: Workload = {
 	slots: 24,
 	readPerMs: 61,
 	stepMs: 3.1,
@@ -67,8 +67,8 @@
 	short: { ownTokens: 630, answerTokens: 290, targetMs: 250, pauseMs: 150 },
 };
 
-/** Digests of saved games, of many subjects, on fast engines with few slots, beside explanations of a few hundred tokens. */
-export const saves: Workload = {
+/** Digests of saved games with many subjects, on fast engines with few slots, beside short explanations. */
+export const savedGameDigests: Workload = {
 	slots: 16,
 	readPerMs: 110,
 	stepMs: 6.1,
@@ -80,8 +80,8 @@
 	short: { ownTokens: 1800, answerTokens: 23, targetMs: 600, pauseMs: 150 },
 };
 
-/** Long prompts of which most is kept, beside streams whose callers want short pauses. */
-export const quests: Workload = {
+/** Long prompts that are mostly cached, beside streams with short target pauses. */
+export const questAnswers: Workload = {
 	slots: 16,
 	readPerMs: 110,
 	stepMs: 6.1,
@@ -101,41 +101,41 @@
 	shortPerS: number;
 	seconds: number;
 	seed: number;
-	/** Share of the engines that are so many times as slow as the others. */
+	/** Share of slow engines, and how many times as long their work takes. */
 	slowShare?: number;
-	slower?: number;
-	/** How many times as long the work of an engine takes, by its number and the time since the first request. */
+	slowdown?: number;
+	/** Pace of an engine by its index and the milliseconds since the first request. */
 	paceOf?: (engine: number, ms: number) => number;
-	/** One VM places all requests, and knows the pace of each engine at each moment. */
-	knowsAll?: boolean;
+	/** Place all requests by one VM that knows the pace of each engine at any time. */
+	knowsExactPaces?: boolean;
 }
 
 export interface BurstTally {
 	sent: number;
 	inTime: number;
 	refused: number;
-	/** Tokens of shared parts that engines read though another had read them. */
-	readAgain: number;
-	read: number;
-	/** Milliseconds to the first event, of each request. */
+	/** Tokens of shared segments that an engine read although another one had them cached. */
+	rereadTokens: number;
+	readTokens: number;
+	/** Milliseconds to the first event of each request. */
 	waits: number[];
 	/** Longest pause of each request, in milliseconds. */
 	pauses: number[];
 }
 
-/** A request that was sent to an engine. */
+/** A request that was sent, and the index of its engine. */
 export interface SentRequest {
-	/** Milliseconds since the first. */
+	/** Milliseconds since the start of the burst. */
 	at: number;
 	engine: number;
 }
 
-/** An engine and what it keeps of prompts. */
-interface KeepingEngine {
+/** An engine with its prefix cache. */
+interface CachingEngine {
 	engine: Engine;
 	batch: BatchEngine;
-	kept: Set<string>;
-	/** When the link of the engine is free for the next copy. */
+	cachedSegments: Set<string>;
+	/** When the network link of the engine is free for the next copy. */
 	linkFreeAt: number;
 }
 
@@ -144,24 +144,24 @@
 	readonly short = noTally();
 	readonly placed: SentRequest[] = [];
 	private readonly fleet: SimulatedFleet;
-	private readonly engines: KeepingEngine[] = [];
+	private readonly engines: CachingEngine[] = [];
 	private readonly placements = new Map<SimulatedVm, EnginePlacement>();
 	private readonly everRead = new Set<string>();
-	private readonly next: () => number;
-	private number = 0;
+	private readonly nextRandom: () => number;
+	private ownSegments = 0;
 	private startAt = 0;
 
 	constructor(readonly opts: BurstOptions) {
-		this.next = seededRandom(opts.seed);
-		this.fleet = new SimulatedFleet(opts.knowsAll ? 1 : opts.vms, opts.domains, opts.seed);
-		for (let at = 0; at < opts.engines; at++) {
-			const isSlow = at < opts.engines * (opts.slowShare ?? 0);
-			this.engines.push(this.newEngine(at, isSlow ? (opts.slower ?? 1) : 1));
+		this.nextRandom = seededRandom(opts.seed);
+		this.fleet = new SimulatedFleet(opts.knowsExactPaces ? 1 : opts.vms, opts.domains, opts.seed);
+		for (let index = 0; index < opts.engines; index++) {
+			const isSlow = index < opts.engines * (opts.slowShare ?? 0);
+			this.engines.push(this.newEngine(index, isSlow ? (opts.slowdown ?? 1) : 1));
 		}
-		const random = { next: this.next, hex: () => '' };
+		const random = { next: this.nextRandom, hex: () => '' };
 		for (const vm of this.fleet.vms) {
 			this.placements.set(vm, new EnginePlacement(random, vm.fleet, vm.costs, () => false));
-			if (opts.knowsAll) {
+			if (opts.knowsExactPaces) {
 				vm.costs.paces.pace = (_, ref) => this.truePace(ref);
 			}
 		}
@@ -183,8 +183,8 @@
 	}
 
 	private truePace(ref: number): Pace {
-		const at = this.engines.findIndex(({ engine }) => engine.ref === ref);
-		const pace = this.opts.paceOf?.(at, this.fleet.clock.now - this.startAt) ?? 1;
+		const index = this.engines.findIndex(({ engine }) => engine.ref === ref);
+		const pace = this.opts.paceOf?.(index, this.fleet.clock.now - this.startAt) ?? 1;
 		return { reading: pace, steps: pace };
 	}
 
@@ -200,7 +200,7 @@
 	private arrivalsOf(perS: number): number[] {
 		const arrivals: number[] = [];
 		for (let at = 0; at < this.opts.seconds * 1000; ) {
-			at += (-Math.log(1 - this.next()) * 1000) / perS;
+			at += (-Math.log(1 - this.nextRandom()) * 1000) / perS;
 			arrivals.push(at);
 		}
 		return arrivals;
@@ -211,12 +211,12 @@
 		const kind = isLong ? workload.long : workload.short;
 		const tally = isLong ? this.long : this.short;
 		const { vms } = this.fleet;
-		const vm = vms[Math.floor(this.next() * vms.length)] as SimulatedVm;
-		const parts = this.partsOf(isLong, kind.ownTokens);
-		const promptTokens = parts.reduce((sum, part) => sum + part.tokens, 0);
+		const vm = vms[Math.floor(this.nextRandom() * vms.length)] as SimulatedVm;
+		const segments = this.segmentsOf(isLong, kind.ownTokens);
+		const promptTokens = segments.reduce((sum, segment) => sum + segment.tokens, 0);
 		const req: PlacementRequest = {
 			service,
-			segments: parts,
+			segments,
 			promptTokens,
 			answerTokens: kind.answerTokens,
 			targetMs: kind.targetMs,
@@ -236,15 +236,15 @@
 		this.send(vm, req, placed, tally, kind.pauseMs);
 	}
 
-	private partsOf(isLong: boolean, ownTokens: number): PromptSegment[] {
-		const own = { id: `own-${this.number++}`, tokens: Math.round(this.sizeOf(ownTokens)) };
+	private segmentsOf(isLong: boolean, ownTokens: number): PromptSegment[] {
+		const own = { id: `own-${this.ownSegments++}`, tokens: Math.round(this.sizeOf(ownTokens)) };
 		if (!isLong) {
 			return [{ id: 'greeting', tokens: 200 }, ...this.topicOf(), own];
 		}
 		const { subjects, baseTokens, subjectTokens } = this.opts.workload;
-		const subject = Math.floor(this.next() ** 1.3 * subjects);
+		const subject = Math.floor(this.nextRandom() ** 1.3 * subjects);
 		return [
-			{ id: `base-${subject % baseParts}`, tokens: baseTokens },
+			{ id: `base-${subject % baseSegments}`, tokens: baseTokens },
 			{ id: `subject-${subject}`, tokens: subjectTokens },
 			own,
 		];
@@ -252,13 +252,13 @@
 
 	private topicOf(): PromptSegment[] {
 		const { topics } = this.opts.workload;
-		const topic = topics && Math.floor(this.next() * topics.count);
+		const topic = topics && Math.floor(this.nextRandom() * topics.count);
 		return topic === undefined ? [] : [{ id: `topic-${topic}`, tokens: topics?.tokens ?? 0 }];
 	}
 
-	/** Sizes differ by up to four times either way. */
+	/** Random size, within a factor of about four of the mean. */
 	private sizeOf(mean: number): number {
-		return mean * 0.75 * Math.exp(1.4 * (this.next() + this.next() - 1));
+		return mean * 0.75 * Math.exp(1.4 * (this.nextRandom() + this.nextRandom() - 1));
 	}
 
 	private send(
@@ -268,8 +268,8 @@
 		tally: BurstTally,
 		pauseMs: number,
 	): void {
-		const engine = this.engines.findIndex((one) => one.engine === placed.engine);
-		const target = this.engines[engine] as KeepingEngine;
+		const engine = this.engines.findIndex((candidate) => candidate.engine === placed.engine);
+		const target = this.engines[engine] as CachingEngine;
 		this.placed.push({ at: this.fleet.clock.now - this.startAt, engine });
 		const { promptTokens } = placed;
 		const { id } = placed.engine;
@@ -279,7 +279,7 @@
 		vm.exchange.markChanged();
 		const sentAt = this.fleet.clock.now;
 		let isInTime = false;
-		const request = observed(vm.costs, {
+		const request = observedRequest(vm.costs, {
 			service,
 			sentAt,
 			promptTokens,
@@ -292,8 +292,8 @@
 			onFirst: (delayMs) => {
 				isInTime = delayMs <= req.targetMs;
 				tally.waits.push(delayMs);
-				for (const part of shared) {
-					target.kept.add(part.id);
+				for (const segment of shared) {
+					target.cachedSegments.add(segment.id);
 				}
 				vm.fleet.changeWork(id, { promptTokens: -promptTokens });
 				vm.fleet.recordPrefill(shared, id, true);
@@ -314,64 +314,69 @@
 			lastAt = at;
 			request.onEvent(at);
 		};
-		const unreadTokens = () => this.unreadOf(req, placed, target, tally);
+		const unreadTokens = () => this.tokensToRead(req, placed, target, tally);
 		target.batch.send({ ...request, onEvent, unreadTokens });
 	}
 
-	/** Tokens to read when the engine lets the request in; a copy takes as long as reading some of them. */
-	private unreadOf(
+	/** Tokens to read when the request gets a slot; a copy counts as the tokens read in the same time. */
+	private tokensToRead(
 		req: PlacementRequest,
 		placed: Placement,
-		target: KeepingEngine,
+		target: CachingEngine,
 		tally: BurstTally,
 	): number {
 		const source = this.engines.find(({ engine }) => engine === placed.copyFrom);
-		let unread = req.segments.at(-1)?.tokens ?? 0;
+		let uncached = req.segments.at(-1)?.tokens ?? 0;
 		let copied = 0;
-		for (const part of req.segments.slice(0, -1)) {
-			if (target.kept.has(part.id)) {
+		for (const segment of req.segments.slice(0, -1)) {
+			if (target.cachedSegments.has(segment.id)) {
 				continue;
 			}
-			if (source?.kept.has(part.id)) {
-				copied += part.tokens;
+			if (source?.cachedSegments.has(segment.id)) {
+				copied += segment.tokens;
 				continue;
 			}
-			unread += part.tokens;
-			tally.readAgain += this.everRead.has(part.id) ? part.tokens : 0;
-			this.everRead.add(part.id);
+			uncached += segment.tokens;
+			tally.rereadTokens += this.everRead.has(segment.id) ? segment.tokens : 0;
+			this.everRead.add(segment.id);
 		}
-		tally.read += unread;
+		tally.readTokens += uncached;
 		return (
-			unread +
+			uncached +
 			(source && copied > 0 ? this.copyMs(source, copied) * this.opts.workload.readPerMs : 0)
 		);
 	}
 
-	private copyMs(source: KeepingEngine, tokens: number): number {
+	private copyMs(source: CachingEngine, tokens: number): number {
 		const { now } = this.fleet.clock;
 		source.linkFreeAt = Math.max(source.linkFreeAt, now) + tokens / copyPerMs;
 		return source.linkFreeAt - now + copySetupMs;
 	}
 
-	private newEngine(at: number, slower: number): KeepingEngine {
+	private newEngine(index: number, slowdown: number): CachingEngine {
 		const { workload, paceOf } = this.opts;
-		const id = `engine-${at}`;
+		const id = `engine-${index}`;
 		const batch = new BatchEngine({
-			readPerMs: workload.readPerMs / slower,
-			stepMs: workload.stepMs * slower,
-			stepMsPerStream: 0.03 * slower,
+			readPerMs: workload.readPerMs / slowdown,
+			stepMs: workload.stepMs * slowdown,
+			stepMsPerStream: 0.03 * slowdown,
 			tokensPerEvent: 5,
 			chunkTokens: 2048,
 			slots: workload.slots,
 			wayMs: 2,
-			slower: paceOf && ((now) => paceOf(at, now - this.startAt)),
+			slower: paceOf && ((now) => paceOf(index, now - this.startAt)),
 		});
-		// The engine's own clock begins with that of the fleet.
+		// Starts the engine's clock at the time of the fleet.
 		batch.runUntil(this.fleet.clock.now);
-		return { engine: new Engine(entry(id, workload.slots)), batch, kept: new Set(), linkFreeAt: 0 };
+		return {
+			engine: new Engine(entry(id, workload.slots)),
+			batch,
+			cachedSegments: new Set(),
+			linkFreeAt: 0,
+		};
 	}
 }
 
 function noTally(): BurstTally {
-	return { sent: 0, inTime: 0, refused: 0, readAgain: 0, read: 0, waits: [], pauses: [] };
+	return { sent: 0, inTime: 0, refused: 0, rereadTokens: 0, readTokens: 0, waits: [], pauses: [] };
 }
--- a/test/steps/engine-costs.steps.ts
+++ b/test/steps/engine-costs.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about learning what work costs, before engines in simulated time.
+ * Steps for cost estimation, with engines in simulated time.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -8,7 +8,7 @@
 import { encodeNews } from '../../src/infra/relay/news-codec.js';
 import { newsIn } from '../../src/infra/relay/peer-datagrams.js';
 import { BatchEngine } from '../stand-ins/batch-engine.js';
-import { observed } from './observed-answer.js';
+import { observedRequest } from './observed-request.js';
 import { gossipMessage, seededRandom, seen } from './relay-fakes.js';
 import type { FleetWorld } from './world.js';
 
@@ -16,7 +16,7 @@
 const engineCount = 6;
 const chunkTokens = 2048;
 const stepMsPerStream = 0.029;
-/** Times and sizes vary like those of callers; the same on every run. */
+/** Seed of the pseudo-random request times and sizes. */
 const firstSeed = 7;
 
 interface Speed {
@@ -25,7 +25,7 @@
 	tokensPerEvent: number;
 }
 
-/** Sends requests to one engine and tells the model what its answers show. */
+/** Sends requests to one engine and records its answers in the cost model. */
 function observe(model: CostModel, speed: Speed, seconds: number, perS: number, seed: number) {
 	const next = seededRandom(seed);
 	const engine = new BatchEngine({
@@ -35,30 +35,30 @@
 		slots: 64,
 		wayMs: 2,
 	});
-	let unread = 0;
+	let unreadTokens = 0;
 	for (let at = 0; at < seconds * 1000; at += (-Math.log(1 - next()) * 1000) / perS) {
 		engine.runUntil(at);
 		const promptTokens = Math.round(next() < 0.5 ? 200 + next() * 800 : 1500 + next() * 6000);
 		const answerTokens = Math.round(60 + next() * 400);
 		const expectedTokens = answerTokens * Math.exp(next() - 0.5);
-		const aheadTokens = unread;
-		unread += promptTokens;
+		const aheadTokens = unreadTokens;
+		unreadTokens += promptTokens;
 		const sizes = { promptTokens, answerTokens, aheadTokens, expectedTokens };
 		const onFirst = () => {
-			unread -= promptTokens;
+			unreadTokens -= promptTokens;
 		};
-		engine.send(observed(model, { service, sentAt: at, ...sizes, onFirst }));
+		engine.send(observedRequest(model, { service, sentAt: at, ...sizes, onFirst }));
 	}
 	engine.runUntil(seconds * 1000);
 }
 
 function assertWithin(value: number, expected: number, percent: number): void {
-	const off = Math.abs(value / expected - 1) * 100;
-	assert.ok(off <= percent, `${value} for ${expected}: ${off.toFixed(1)} % off`);
+	const errorPercent = Math.abs(value / expected - 1) * 100;
+	assert.ok(errorPercent <= percent, `${value} for ${expected}: ${errorPercent.toFixed(1)} % off`);
 }
 
 cucumber.Given(
-	'engines that read {float} prompt tokens a ms and make a token in {float} ms, {int} an event',
+	'engines that read {float} prompt tokens per ms and generate a token in {float} ms, {int} per event',
 	function (this: FleetWorld, readPerMs: number, stepMs: number, tokensPerEvent: number) {
 		this.seen.set('speed', { readPerMs, stepMs, tokensPerEvent });
 		this.seen.set('model', new CostModel());
@@ -66,7 +66,7 @@
 );
 
 cucumber.When(
-	'their answers of {int} s at {int} requests a second each have been seen',
+	'{int} s of their answers are observed, at {int} requests a second per engine',
 	function (this: FleetWorld, seconds: number, perS: number) {
 		for (let engine = 0; engine < engineCount; engine++) {
 			const seed = firstSeed + engine;
@@ -76,7 +76,7 @@
 );
 
 cucumber.Then(
-	'reading is estimated within {int} % of {float} tokens a ms and the steps between',
+	'reading is estimated within {int} % of {float} tokens per ms plus interleaved steps',
 	function (this: FleetWorld, percent: number, readPerMs: number) {
 		const { stepMs } = seen<Speed>(this, 'speed');
 		const expected = 1 / readPerMs + stepMs / chunkTokens;
@@ -85,11 +85,11 @@
 );
 
 cucumber.Then(
-	'a pause between events is estimated within {int} % of {int} steps',
+	'the event interval is estimated within {int} % of {int} steps',
 	function (this: FleetWorld, percent: number, steps: number) {
 		const { stepMs } = seen<Speed>(this, 'speed');
-		const { eventIntervalMs: eventMs } = seen<CostModel>(this, 'model').of(service);
-		assertWithin(eventMs, steps * stepMs, percent);
+		const { eventIntervalMs } = seen<CostModel>(this, 'model').of(service);
+		assertWithin(eventIntervalMs, steps * stepMs, percent);
 	},
 );
 
@@ -102,26 +102,26 @@
 	},
 );
 
-cucumber.When('one first event comes {int} s late', function (this: FleetWorld, seconds: number) {
-	const wild = { promptTokens: 3000, aheadTokens: 0, copiedTokens: 0, delayMs: seconds * 1000 };
+cucumber.When('one first event takes {int} s', function (this: FleetWorld, seconds: number) {
+	const outlier = { promptTokens: 3000, aheadTokens: 0, copiedTokens: 0, delayMs: seconds * 1000 };
 	const at = 30_000;
 	seen<CostModel>(this, 'model').recordFirstEvent(service, {
-		...wild,
+		...outlier,
 		engine: 1,
 		at,
 		isQueued: false,
 	});
 });
 
-cucumber.When('another VM starts and hears the news of the first', function (this: FleetWorld) {
-	const told = gossipMessage({ costs: seen<CostModel>(this, 'model').export([]) });
+cucumber.When('another VM starts and merges the gossip of the first', function (this: FleetWorld) {
+	const gossip = gossipMessage({ costs: seen<CostModel>(this, 'model').export([]) });
 	const other = new CostModel();
-	other.merge('vm-1', newsIn(encodeNews(told))?.costs ?? []);
+	other.merge('vm-1', newsIn(encodeNews(gossip))?.costs ?? []);
 	this.seen.set('other', other);
 });
 
 cucumber.Then(
-	"the other VM's figures are those of the first within {int} %",
+	"the other VM's estimates match those of the first within {int} %",
 	function (this: FleetWorld, percent: number) {
 		const first = seen<CostModel>(this, 'model').of(service);
 		const other = seen<CostModel>(this, 'other').of(service);
@@ -131,21 +131,21 @@
 	},
 );
 
-cucumber.Given('a VM that has seen nothing', function (this: FleetWorld) {
+cucumber.Given('a VM without observations', function (this: FleetWorld) {
 	const model = new CostModel();
 	this.seen.set('model', model);
 	this.seen.set('before', model.of(service));
 });
 
 cucumber.Then(
-	'reading is estimated at {int} tokens a ms',
+	'reading is estimated at {int} tokens per ms',
 	function (this: FleetWorld, readPerMs: number) {
 		assertWithin(seen<CostModel>(this, 'model').of(service).readMsPerToken, 1 / readPerMs, 1);
 	},
 );
 
 cucumber.When(
-	'{int} first events come at once and {int} pauses last nothing',
+	'{int} first events and {int} pauses of 0 ms are observed',
 	function (this: FleetWorld, firsts: number, pauses: number) {
 		const model = seen<CostModel>(this, 'model');
 		for (let at = 0; at < firsts; at++) {
@@ -159,7 +159,7 @@
 	},
 );
 
-cucumber.Then('no figure is below a twentieth of where it began', function (this: FleetWorld) {
+cucumber.Then('no estimate is below a twentieth of its prior', function (this: FleetWorld) {
 	const before = Object.entries(seen<Record<string, number>>(this, 'before'));
 	const now = seen<CostModel>(this, 'model').of(service) as unknown as Record<string, number>;
 	for (const [name, value] of before) {
--- a/test/steps/engine-speeds.steps.ts
+++ b/test/steps/engine-speeds.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about the pace of single engines: replayed load on uneven engines, and what VMs tell each other of them.
+ * Steps for the pace of single engines: replayed load on uneven engines, and gossip about paces.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -14,56 +14,53 @@
 import type { FleetWorld } from './world.js';
 
 const service = 'pool';
-/** Each third of the engines. */
+/** Paces, each of a third of the engines. */
 const paces = [0.6, 1, 1.6];
-/** Noise that comes and goes: share of the time, how much slower, and how long it stays, in milliseconds. */
-const noise = { share: 0.15, slower: 2.5, ms: 600 };
+/** Intermittent noise: share of the time, slowdown factor, and duration in milliseconds. */
+const noise = { share: 0.15, slowdown: 2.5, ms: 600 };
 
-/** The same for an engine and a time on every run, whoever asks. */
+/** Slowdown of an engine at a time; deterministic. */
 function noiseAt(engine: number, ms: number): number {
 	const next = seededRandom(engine * 7919 + Math.floor(ms / noise.ms) * 104_729 + 17);
 	next();
 	next();
-	return next() < noise.share ? noise.slower : 1;
+	return next() < noise.share ? noise.slowdown : 1;
 }
 
 function shareOf(
 	replay: BurstReplay,
 	fromMs: number,
 	toMs: number,
-	isMeant: (e: number) => boolean,
+	isSelected: (engine: number) => boolean,
 ) {
 	const placed = replay.placed.filter(({ at }) => at >= fromMs && at < toMs);
-	return placed.filter(({ engine }) => isMeant(engine)).length / placed.length;
+	return placed.filter(({ engine }) => isSelected(engine)).length / placed.length;
 }
 
 function median(values: readonly number[]): number {
 	return [...values].sort((a, b) => a - b)[Math.floor(values.length / 2)] ?? 0;
 }
 
-cucumber.Given(
-	'engines at 0.6, 1 and 1.6 times the usual time, with noise',
-	function (this: FleetWorld) {
-		const paceOf = (engine: number, ms: number) => (paces[engine % 3] ?? 1) * noiseAt(engine, ms);
-		Object.assign(seen<BurstOptions>(this, 'burst'), { paceOf });
-	},
-);
+cucumber.Given('engines of pace 0.6, 1 and 1.6, with noise', function (this: FleetWorld) {
+	const paceOf = (engine: number, ms: number) => (paces[engine % 3] ?? 1) * noiseAt(engine, ms);
+	Object.assign(seen<BurstOptions>(this, 'burst'), { paceOf });
+});
 
 cucumber.Given(
-	'each tenth engine takes {int} times as long from {int} s to {int} s, and all have noise',
-	function (this: FleetWorld, slower: number, from: number, to: number) {
+	'every tenth engine is {int} times slower from {int} s to {int} s, and all have noise',
+	function (this: FleetWorld, slowdown: number, from: number, to: number) {
 		const isSlow = (engine: number, ms: number) => {
 			return engine % 10 === 0 && ms >= from * 1000 && ms < to * 1000;
 		};
 		const paceOf = (engine: number, ms: number) => {
-			return noiseAt(engine, ms) * (isSlow(engine, ms) ? slower : 1);
+			return noiseAt(engine, ms) * (isSlow(engine, ms) ? slowdown : 1);
 		};
 		Object.assign(seen<BurstOptions>(this, 'burst'), { paceOf });
 	},
 );
 
 cucumber.Then(
-	'from {int} s on each third of the engines gets its share of the work, the fast ones no less and the slow ones no more',
+	'from {int} s on the fast third of the engines gets at least its share of the work, and the slow third at most its share',
 	function (this: FleetWorld, from: number) {
 		const replay = seen<BurstReplay>(this, 'replay');
 		const speeds = paces.map((pace) => 1 / pace);
@@ -76,55 +73,57 @@
 	},
 );
 
-/** The same load, placed with full knowledge. */
-function atBest(world: FleetWorld): BurstReplay {
+/** The same load, placed with exact knowledge of all paces. */
+function replayWithExactPaces(world: FleetWorld): BurstReplay {
 	const load = seen<BurstReplay>(world, 'replay').opts;
-	const known = seen<BurstReplay>(world, 'known') ?? new BurstReplay({ ...load, knowsAll: true });
-	if (known.placed.length === 0) {
-		known.play();
-		world.seen.set('known', known);
+	const exact =
+		seen<BurstReplay>(world, 'exact') ?? new BurstReplay({ ...load, knowsExactPaces: true });
+	if (exact.placed.length === 0) {
+		exact.play();
+		world.seen.set('exact', exact);
 	}
-	return known;
+	return exact;
 }
 
 cucumber.Then(
-	'at least {float} times as many prompts are in time as with full knowledge of all engines',
-	function (this: FleetWorld, least: number) {
+	'at least {float} times as many prompts are in time as with exact knowledge of all paces',
+	function (this: FleetWorld, min: number) {
 		const inTime = ({ long, short }: BurstReplay) => long.inTime + short.inTime;
-		const ratio = inTime(seen<BurstReplay>(this, 'replay')) / inTime(atBest(this));
-		assert.ok(ratio >= least, `${ratio}`);
+		const ratio = inTime(seen<BurstReplay>(this, 'replay')) / inTime(replayWithExactPaces(this));
+		assert.ok(ratio >= min, `${ratio}`);
 	},
 );
 
 cucumber.Then(
-	'waits are at most {float} times as long in the median',
-	function (this: FleetWorld, most: number) {
+	'the median wait is at most {float} times as long',
+	function (this: FleetWorld, max: number) {
 		const medianOf = ({ long, short }: BurstReplay) => median([...long.waits, ...short.waits]);
-		const ratio = medianOf(seen<BurstReplay>(this, 'replay')) / medianOf(atBest(this));
-		assert.ok(ratio <= most, `${ratio}`);
+		const ratio =
+			medianOf(seen<BurstReplay>(this, 'replay')) / medianOf(replayWithExactPaces(this));
+		assert.ok(ratio <= max, `${ratio}`);
 	},
 );
 
-/** What the tenth of the engines gets, over its share by number. */
-function tenthOf(world: FleetWorld, from: number, to: number): number {
+/** Share of the work that the slow tenth of the engines gets, relative to its share of the engines. */
+function relativeShareOfSlowTenth(world: FleetWorld, from: number, to: number): number {
 	const replay = seen<BurstReplay>(world, 'replay');
-	const meant = Math.ceil(replay.opts.engines / 10) / replay.opts.engines;
-	return shareOf(replay, from * 1000, to * 1000, (engine) => engine % 10 === 0) / meant;
+	const expected = Math.ceil(replay.opts.engines / 10) / replay.opts.engines;
+	return shareOf(replay, from * 1000, to * 1000, (engine) => engine % 10 === 0) / expected;
 }
 
 cucumber.Then(
-	'those engines get at most {float} of their share from {float} s to {float} s',
-	function (this: FleetWorld, most: number, from: number, to: number) {
-		const share = tenthOf(this, from, to);
-		assert.ok(share <= most, `${share}`);
+	'the slow engines get at most {float} of their share from {float} s to {float} s',
+	function (this: FleetWorld, max: number, from: number, to: number) {
+		const share = relativeShareOfSlowTenth(this, from, to);
+		assert.ok(share <= max, `${share}`);
 	},
 );
 
 cucumber.Then(
-	'they get at least {float} of their share from {float} s to {float} s, and each at least one prompt from {float} s on',
-	function (this: FleetWorld, least: number, from: number, to: number, slowFrom: number) {
-		const share = tenthOf(this, from, to);
-		assert.ok(share >= least, `${share}`);
+	'they get at least {float} of their share from {float} s to {float} s, and each gets a prompt from {float} s on',
+	function (this: FleetWorld, min: number, from: number, to: number, slowFrom: number) {
+		const share = relativeShareOfSlowTenth(this, from, to);
+		assert.ok(share >= min, `${share}`);
 		const { placed } = seen<BurstReplay>(this, 'replay');
 		const during = placed.filter(({ at }) => at >= slowFrom * 1000 && at < to * 1000);
 		const slow = during.map(({ engine }) => engine).filter((engine) => engine % 10 === 0);
@@ -132,7 +131,7 @@
 	},
 );
 
-/** Answers of some engines for a while, each with a prompt of its own and pauses, by the pace of each. */
+/** Records answers of 20 engines for a while, with first events and pauses by the pace of each. */
 function observe(model: CostModel, from: number, ms: number, paceOf: (engine: number) => number) {
 	for (let at = from; at < from + ms; at += 100) {
 		for (let engine = 1; engine <= 20; engine++) {
@@ -147,15 +146,15 @@
 }
 
 cucumber.When(
-	'one VM that is no aggregator sees one of 20 engines take {int} times as long as the others',
-	function (this: FleetWorld, slower: number) {
+	'a VM that is not an aggregator observes one of 20 engines taking {int} times as long as the others',
+	function (this: FleetWorld, slowdown: number) {
 		const fleet = seen<SimulatedFleet>(this, 'simulated');
 		fleet.run(1000);
 		const vm = fleet.running.find(
 			(vm) => vm.fleet.aggregatorIntervalMs !== undefined,
 		) as SimulatedVm;
 		for (let passed = 0; passed < 2000; passed += 100) {
-			observe(vm.costs, fleet.clock.now, 100, (engine) => (engine === 1 ? slower : 1));
+			observe(vm.costs, fleet.clock.now, 100, (engine) => (engine === 1 ? slowdown : 1));
 			fleet.run(100);
 		}
 		this.seen.set('observer', vm);
@@ -163,15 +162,15 @@
 );
 
 cucumber.Then(
-	'all VMs expect it to take {float} to {float} times as long as the others',
-	function (this: FleetWorld, least: number, most: number) {
+	'all VMs estimate that it takes {float} to {float} times as long as the others',
+	function (this: FleetWorld, min: number, max: number) {
 		const fleet = seen<SimulatedFleet>(this, 'simulated');
 		for (const { registration: listed, costs } of fleet.running) {
-			const [slow, usual] = [1, 2].map(
+			const [slow, nominal] = [1, 2].map(
 				(engine) => costs.ofEngine(service, engine, fleet.clock.now).eventIntervalMs,
 			);
-			const ratio = (slow ?? 0) / (usual ?? 1);
-			assert.ok(ratio >= least && ratio <= most, `${listed.name}: ${ratio}`);
+			const ratio = (slow ?? 0) / (nominal ?? 1);
+			assert.ok(ratio >= min && ratio <= max, `${listed.name}: ${ratio}`);
 		}
 	},
 );
@@ -181,48 +180,48 @@
 });
 
 cucumber.Given(
-	'a VM that saw engine "a" take {float} times as long as 9 others for {int} s',
-	function (this: FleetWorld, slower: number, seconds: number) {
+	'a VM that observed engine "a" taking {float} times as long as 19 others for {int} s',
+	function (this: FleetWorld, slowdown: number, seconds: number) {
 		const model = new CostModel();
-		observe(model, 0, seconds * 1000, (engine) => (engine === 1 ? slower : 1));
+		observe(model, 0, seconds * 1000, (engine) => (engine === 1 ? slowdown : 1));
 		this.seen.set('model', model);
 		this.seen.set('now', seconds * 1000);
 	},
 );
 
 cucumber.When(
-	'engine "a" takes {float} times as long again for {int} ms',
-	function (this: FleetWorld, slower: number, ms: number) {
+	'engine "a" is another {float} times slower for {int} ms',
+	function (this: FleetWorld, slowdown: number, ms: number) {
 		const now = seen<number>(this, 'now');
-		const paceOf = (engine: number) => (engine === 1 ? 1.6 * slower : 1);
+		const paceOf = (engine: number) => (engine === 1 ? 1.6 * slowdown : 1);
 		observe(seen<CostModel>(this, 'model'), now, ms, paceOf);
 		this.seen.set('now', now + ms);
 	},
 );
 
-cucumber.When('engine "a" starts anew', function (this: FleetWorld) {
+cucumber.When('engine "a" restarts', function (this: FleetWorld) {
 	seen<CostModel>(this, 'model').paces.removeEngine(1);
 });
 
-function assertPace({ reading, steps }: Pace, least: number, most: number): void {
+function assertPace({ reading, steps }: Pace, min: number, max: number): void {
 	for (const pace of [reading, steps]) {
-		assert.ok(pace >= least && pace <= most, `${pace}`);
+		assert.ok(pace >= min && pace <= max, `${pace}`);
 	}
 }
 
 cucumber.Then(
-	/^it expects ([\d.]+) to ([\d.]+) times as long of it( in|, in) the mean of half a minute( too)?$/,
-	function (this: FleetWorld, least: string, most: string, _in: string, too: string | undefined) {
-		const { paces: speeds } = seen<CostModel>(this, 'model');
+	/^it estimates the steady( and the current)? pace of it at ([\d.]+) to ([\d.]+)$/,
+	function (this: FleetWorld, both: string | undefined, min: string, max: string) {
+		const { paces: enginePaces } = seen<CostModel>(this, 'model');
 		const now = seen<number>(this, 'now');
-		assertPace(speeds.steadyPace(service, 1, now), Number(least), Number(most));
-		if (too) {
-			assertPace(speeds.pace(service, 1, now), Number(least), Number(most));
+		assertPace(enginePaces.steadyPace(service, 1, now), Number(min), Number(max));
+		if (both) {
+			assertPace(enginePaces.pace(service, 1, now), Number(min), Number(max));
 		}
 	},
 );
 
-cucumber.Given('a VM that saw 940 engines', function (this: FleetWorld) {
+cucumber.Given('a VM with observations of 940 engines', function (this: FleetWorld) {
 	const model = new CostModel();
 	for (let at = 0; at < 2000; at += 100) {
 		for (let engine = 1; engine <= 940; engine++) {
@@ -234,27 +233,27 @@
 });
 
 cucumber.Then(
-	'its news of speeds take at most {int} bytes',
-	function (this: FleetWorld, most: number) {
+	'its exported paces take at most {int} bytes',
+	function (this: FleetWorld, max: number) {
 		const speeds = seen<CostModel>(this, 'model').paces.export([], 2000, 24);
 		const bytes =
 			encodeNews(gossipMessage({ speeds })).length - encodeNews(gossipMessage({})).length;
-		assert.ok(bytes <= most, `${bytes}`);
+		assert.ok(bytes <= max, `${bytes}`);
 	},
 );
 
 cucumber.Then(
-	'each engine is told of within {int} of them, those that turned slow within {int}',
-	function (this: FleetWorld, all: number, turned: number) {
-		const { paces: speeds } = seen<CostModel>(this, 'model');
-		const told = (times: number) => {
-			const news = Array.from({ length: times }, () => speeds.export([], 2000, 24));
+	'each engine is exported within {int} messages, and each slow one within {int}',
+	function (this: FleetWorld, maxAll: number, maxSlow: number) {
+		const { paces: enginePaces } = seen<CostModel>(this, 'model');
+		const exportedEngines = (messages: number) => {
+			const gossip = Array.from({ length: messages }, () => enginePaces.export([], 2000, 24));
 			return new Set(
-				news.flatMap((sums) => sums.flatMap(({ engines }) => engines)).map((e) => e.engine),
+				gossip.flatMap((sums) => sums.flatMap(({ engines }) => engines)).map((e) => e.engine),
 			);
 		};
-		const first = [...told(turned)];
+		const first = [...exportedEngines(maxSlow)];
 		assert.equal(first.filter((engine) => (engine / 4_000_000) % 100 === 0).length, 9);
-		assert.equal(told(all).size, 940);
+		assert.equal(exportedEngines(maxAll).size, 940);
 	},
 );
--- a/test/steps/fleet-health.steps.ts
+++ b/test/steps/fleet-health.steps.ts
@@ -1,6 +1,5 @@
 /**
- * Steps about engines that fail requests of several VMs, in a simulated fleet: each VM sends its requests to any engine that it does
- * not avoid.
+ * Steps for engines that fail requests of several VMs, in a simulated fleet whose VMs send requests to random available engines.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -14,16 +13,16 @@
 const settleMs = 1500;
 const failingEngine = 7;
 
-/** Whether a request of the VM fails at the engine. */
-type Failure = (vm: SimulatedVm, engine: number, chance: number) => boolean;
+/** Whether a request of the VM fails at the engine; `chance` is random in [0, 1). */
+type FailureRule = (vm: SimulatedVm, engine: number, chance: number) => boolean;
 
-class Requests {
+class RequestLoad {
 	readonly fleet: SimulatedFleet;
 	readonly engines: { ref: number }[];
 	failed = 0;
-	/** Requests that each engine got. */
+	/** Number of requests sent to each engine. */
 	sent = new Map<number, number>();
-	private readonly next = seededRandom(7);
+	private readonly nextRandom = seededRandom(7);
 
 	constructor(
 		vms: number,
@@ -35,12 +34,12 @@
 		this.fleet.run(settleMs);
 	}
 
-	run(ms: number, fails: Failure): void {
+	run(ms: number, fails: FailureRule): void {
 		this.failed = 0;
 		this.sent = new Map();
-		for (let passed = 0; passed < ms; passed += stepMs) {
+		for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += stepMs) {
 			for (const vm of this.fleet.running) {
-				if (this.next() < (this.perS * stepMs) / 1000) {
+				if (this.nextRandom() < (this.perS * stepMs) / 1000) {
 					this.request(vm, fails);
 				}
 			}
@@ -48,11 +47,11 @@
 		}
 	}
 
-	private request(vm: SimulatedVm, fails: Failure): void {
-		const admitted = vm.health.filterAvailable(this.engines);
-		const engine = admitted[Math.floor(this.next() * admitted.length)] as { ref: number };
+	private request(vm: SimulatedVm, fails: FailureRule): void {
+		const available = vm.health.filterAvailable(this.engines);
+		const engine = available[Math.floor(this.nextRandom() * available.length)] as { ref: number };
 		this.sent.set(engine.ref, (this.sent.get(engine.ref) ?? 0) + 1);
-		if (fails(vm, engine.ref, this.next())) {
+		if (fails(vm, engine.ref, this.nextRandom())) {
 			this.failed++;
 			vm.health.recordFailure(engine);
 		} else {
@@ -62,29 +61,32 @@
 }
 
 cucumber.Given(
-	'{int} VMs before {int} engines, each VM with {int} requests a second',
+	'{int} VMs and {int} engines, with {int} requests a second per VM',
 	function (this: FleetWorld, vms: number, engines: number, perS: number) {
-		this.seen.set('requests', new Requests(vms, engines, perS));
+		this.seen.set('requests', new RequestLoad(vms, engines, perS));
 	},
 );
 
-cucumber.Given('{int} % of the news are lost', function (this: FleetWorld, percent: number) {
-	seen<Requests>(this, 'requests').fleet.lossRate = percent / 100;
-});
+cucumber.Given(
+	'{int} % of the gossip messages are lost',
+	function (this: FleetWorld, percent: number) {
+		seen<RequestLoad>(this, 'requests').fleet.lossRate = percent / 100;
+	},
+);
 
 cucumber.When(
 	'one engine fails {int} % of its requests for {int} s',
 	function (this: FleetWorld, percent: number, seconds: number) {
-		const fails: Failure = (_, engine, chance) =>
+		const fails: FailureRule = (_, engine, chance) =>
 			engine === failingEngine && chance < percent / 100;
-		seen<Requests>(this, 'requests').run(seconds * 1000, fails);
+		seen<RequestLoad>(this, 'requests').run(seconds * 1000, fails);
 	},
 );
 
 cucumber.When(
 	'all engines fail {int} % of their requests for {int} s',
 	function (this: FleetWorld, percent: number, seconds: number) {
-		seen<Requests>(this, 'requests').run(
+		seen<RequestLoad>(this, 'requests').run(
 			seconds * 1000,
 			(_vm, _engine, chance) => chance < percent / 100,
 		);
@@ -92,23 +94,23 @@
 );
 
 cucumber.When(
-	'one VM fails at all engines for {int} s',
+	'all requests of one VM fail for {int} s',
 	function (this: FleetWorld, seconds: number) {
-		const requests = seen<Requests>(this, 'requests');
-		const [cut] = requests.fleet.vms;
-		requests.run(seconds * 1000, (vm) => vm === cut);
+		const requests = seen<RequestLoad>(this, 'requests');
+		const [failingVm] = requests.fleet.vms;
+		requests.run(seconds * 1000, (vm) => vm === failingVm);
 	},
 );
 
-cucumber.Then('at most {int} requests fail', function (this: FleetWorld, most: number) {
-	const { failed } = seen<Requests>(this, 'requests');
-	assert.ok(failed <= most, `${failed} failed`);
+cucumber.Then('at most {int} requests fail', function (this: FleetWorld, max: number) {
+	const { failed } = seen<RequestLoad>(this, 'requests');
+	assert.ok(failed <= max, `${failed} failed`);
 });
 
 cucumber.Then(
-	'{int} s later the engine gets work as the others do',
+	'{int} s later the engine gets work like the others',
 	function (this: FleetWorld, seconds: number) {
-		const requests = seen<Requests>(this, 'requests');
+		const requests = seen<RequestLoad>(this, 'requests');
 		requests.run(seconds * 1000, () => false);
 		requests.run(4000, () => false);
 		const all = [...requests.sent.values()].reduce((sum, count) => sum + count, 0);
@@ -118,7 +120,7 @@
 );
 
 cucumber.Then('no other VM avoids an engine', function (this: FleetWorld) {
-	const { fleet, engines } = seen<Requests>(this, 'requests');
+	const { fleet, engines } = seen<RequestLoad>(this, 'requests');
 	const avoiding = fleet.vms
 		.slice(1)
 		.filter((vm) => vm.health.filterAvailable(engines) !== engines);
@@ -126,7 +128,7 @@
 });
 
 cucumber.Then('each VM may use all engines', function (this: FleetWorld) {
-	const { fleet, engines } = seen<Requests>(this, 'requests');
+	const { fleet, engines } = seen<RequestLoad>(this, 'requests');
 	const avoiding = fleet.vms.filter(
 		(vm) => vm.health.filterAvailable(engines).length < engines.length,
 	);
--- a/test/steps/observed-answer.ts
+++ b/test/steps/observed-request.ts
@@ -1,5 +1,5 @@
 /**
- * What the relay would tell the cost model of one answer of a simulated engine.
+ * Records the answer of a simulated engine in a cost model, as the relay does.
  * @module
  */
 
@@ -10,33 +10,32 @@
 
 export interface ObservedRequest {
 	service: string;
-	/** Stands for the engine in messages. */
 	engine?: EngineRef;
-	/** The engine had no free slot, as far as is known. @default false */
+	/** Whether the engine is known to have no free slot. @default false */
 	isQueued?: boolean;
-	/** Prompts wait at the engine, as far as is known, when an event comes. @default never */
+	/** Whether prompts are known to wait at the engine when an event arrives. @default never */
 	isBesidePrompts?: () => boolean;
-	/** Milliseconds. */
+	/** In milliseconds. */
 	sentAt: number;
 	promptTokens: number;
 	answerTokens: number;
-	/** Prompt tokens that wait at the engine before it, as far as is known. */
+	/** Prompt tokens known to be queued ahead at the engine. */
 	aheadTokens: number;
-	/** Tokens that its caller expects of the answer. */
+	/** Tokens expected of the answer. */
 	expectedTokens: number;
-	/** Its first event came, so long after it was sent, in milliseconds. */
+	/** Called with the first event, and the milliseconds since the request was sent. */
 	onFirst?: (delayMs: number) => void;
 	onEnd?: () => void;
 }
 
-/** The request as an engine takes it; its events go to the model. */
-export function observed(model: CostModel, req: ObservedRequest): BatchRequest {
+/** Creates a request for an engine whose events are recorded in the model. */
+export function observedRequest(model: CostModel, req: ObservedRequest): BatchRequest {
 	const { service, sentAt, promptTokens, aheadTokens, expectedTokens } = req;
 	const { engine = 1, isQueued = false, isBesidePrompts = () => false } = req;
 	let firstAt: number | undefined;
 	let lastAt = 0;
 	let events = 0;
-	const calm = new UndisturbedPauseFilter();
+	const undisturbed = new UndisturbedPauseFilter();
 	return {
 		sentAt,
 		promptTokens,
@@ -51,14 +50,14 @@
 				req.onFirst?.(delayMs);
 			} else {
 				const ms = at - lastAt;
-				const calmMs = calm.add(ms, isBesidePrompts());
-				model.recordPause(service, { ms, engine, at, undisturbedMs: calmMs });
+				const undisturbedMs = undisturbed.add(ms, isBesidePrompts());
+				model.recordPause(service, { ms, engine, at, undisturbedMs });
 			}
 			lastAt = at;
 		},
 		onEnd: () => {
-			const heldMs = lastAt - (firstAt ?? lastAt);
-			model.recordAnswer(service, { events, expectedTokens, slotOccupancyMs: heldMs });
+			const slotOccupancyMs = lastAt - (firstAt ?? lastAt);
+			model.recordAnswer(service, { events, expectedTokens, slotOccupancyMs });
 			req.onEnd?.();
 		},
 	};
--- a/test/steps/overload.steps.ts
+++ b/test/steps/overload.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps that replay an overload: placement before engines in simulated time, with its costs learned meanwhile.
+ * Steps that replay an overload on engines in simulated time, with cost estimates updated meanwhile.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -10,7 +10,7 @@
 import type { PlacementRequest } from '../../src/core/engines/placement-types.js';
 import { FleetView } from '../../src/core/fleet/fleet-view.js';
 import { BatchEngine } from '../stand-ins/batch-engine.js';
-import { observed } from './observed-answer.js';
+import { observedRequest } from './observed-request.js';
 import {
 	entry,
 	ManualClock,
@@ -27,17 +27,17 @@
 const service = 'pool';
 const engineCount = 6;
 const seconds = 14;
-/** Results of the first seconds are left out: costs are learned there. */
-const learnedAfterS = 4;
+/** Results before this time are ignored, while cost estimates converge. */
+const warmupS = 4;
 
-/** A kind of request as engines of usual speed are asked it. */
+/** A kind of request, with times for engines of nominal pace. */
 interface Kind {
 	name: string;
 	perS: number;
 	promptTokens: number;
 	answerTokens: number;
 	targetMs: number;
-	leastUrgent: boolean;
+	isLeastUrgentTier: boolean;
 }
 
 const chat: Kind = {
@@ -46,7 +46,7 @@
 	promptTokens: 600,
 	answerTokens: 200,
 	targetMs: 250,
-	leastUrgent: false,
+	isLeastUrgentTier: false,
 };
 const letter: Kind = {
 	name: 'letter',
@@ -54,7 +54,7 @@
 	promptTokens: 6500,
 	answerTokens: 120,
 	targetMs: 1500,
-	leastUrgent: true,
+	isLeastUrgentTier: true,
 };
 const pauseMs = 150;
 
@@ -64,11 +64,11 @@
 	inTime: number;
 }
 
-/** One request of the trace: its time on engines of usual speed, and how its size differs from its kind's. */
+/** One request of the trace: its time for engines of nominal pace, and its size relative to its kind. */
 interface Arrival {
 	kind: Kind;
 	atMs: number;
-	size: number;
+	sizeFactor: number;
 }
 
 function traceOf(seed: number): Arrival[] {
@@ -78,15 +78,15 @@
 		let atMs = 0;
 		while (atMs < seconds * 1000) {
 			atMs += (-Math.log(1 - next()) * 1000) / kind.perS;
-			arrivals.push({ kind, atMs, size: Math.exp(next() - 0.5) });
+			arrivals.push({ kind, atMs, sizeFactor: Math.exp(next() - 0.5) });
 		}
 	}
 	return arrivals.sort((a, b) => a.atMs - b.atMs);
 }
 
 /**
- * Plays the trace on engines that are slower by a factor; times, targets and pauses are longer by the same, so
- * that the same decisions should come out.
+ * Replays the trace on engines of a given pace. Times, targets and pauses are scaled by it, so that the same decisions are
+ * expected.
  */
 class Replay {
 	readonly tallies = new Map<string, Tally>();
@@ -97,7 +97,7 @@
 	private readonly batches = new Map<string, BatchEngine>();
 	private readonly placement: EnginePlacement;
 
-	constructor(private readonly slower: number) {
+	constructor(private readonly pace: number) {
 		this.fleet = new FleetView({
 			self: 'vm-1',
 			address: '10.0.0.1:1',
@@ -114,27 +114,27 @@
 		});
 		const random = { next: () => 0.5, hex: () => '' };
 		this.placement = new EnginePlacement(random, this.fleet, this.costs, () => false);
-		for (let at = 0; at < engineCount; at++) {
-			this.engines.push(new Engine(entry(`engine-${at}`, 64)));
-			this.batches.set(`engine-${at}`, new BatchEngine(this.speed()));
+		for (let index = 0; index < engineCount; index++) {
+			this.engines.push(new Engine(entry(`engine-${index}`, 64)));
+			this.batches.set(`engine-${index}`, new BatchEngine(this.engineOptions()));
 		}
 	}
 
 	play(arrivals: readonly Arrival[]): void {
-		for (const [number, arrival] of arrivals.entries()) {
-			const now = arrival.atMs * this.slower;
+		for (const [index, arrival] of arrivals.entries()) {
+			const now = arrival.atMs * this.pace;
 			this.runUntil(now);
 			this.clock.now = now;
-			this.request(arrival, now, number);
+			this.request(arrival, now, index);
 		}
-		this.runUntil((seconds + 60) * 1000 * this.slower);
+		this.runUntil((seconds + 60) * 1000 * this.pace);
 	}
 
-	private speed() {
+	private engineOptions() {
 		return {
-			readPerMs: 45 / this.slower,
-			stepMs: 4.5 * this.slower,
-			stepMsPerStream: 0.025 * this.slower,
+			readPerMs: 45 / this.pace,
+			stepMs: 4.5 * this.pace,
+			stepMsPerStream: 0.025 * this.pace,
 			tokensPerEvent: 4,
 			chunkTokens: 1024,
 			slots: 64,
@@ -148,33 +148,33 @@
 		}
 	}
 
-	private request({ kind, atMs, size }: Arrival, now: number, number: number): void {
-		const promptTokens = Math.round(kind.promptTokens * size);
-		const targetMs = kind.targetMs * this.slower;
+	private request({ kind, atMs, sizeFactor }: Arrival, now: number, index: number): void {
+		const promptTokens = Math.round(kind.promptTokens * sizeFactor);
+		const targetMs = kind.targetMs * this.pace;
 		const req: PlacementRequest = {
 			service,
 			segments: [
-				{ id: `${number}-a`, tokens: 10 },
-				{ id: `${number}-b`, tokens: promptTokens - 10 },
+				{ id: `${index}-a`, tokens: 10 },
+				{ id: `${index}-b`, tokens: promptTokens - 10 },
 			],
 			promptTokens,
 			answerTokens: kind.answerTokens,
 			targetMs,
-			tightestPauseMs: pauseMs * this.slower,
-			isLeastUrgentTier: kind.leastUrgent,
+			tightestPauseMs: pauseMs * this.pace,
+			isLeastUrgentTier: kind.isLeastUrgentTier,
 			tried: new Set(),
 			...unlimited,
 		};
 		const placed = this.placement.choose(req, this.engines, now);
 		const tally = this.tallyOf(kind);
-		const counts = atMs > learnedAfterS * 1000;
-		tally.sent += counts ? 1 : 0;
+		const isCounted = atMs > warmupS * 1000;
+		tally.sent += isCounted ? 1 : 0;
 		if ('refusal' in placed) {
-			tally.refused += counts ? 1 : 0;
+			tally.refused += isCounted ? 1 : 0;
 			return;
 		}
 		this.send(req, placed.engine, now, (delayMs) => {
-			tally.inTime += counts && delayMs <= targetMs ? 1 : 0;
+			tally.inTime += isCounted && delayMs <= targetMs ? 1 : 0;
 		});
 	}
 
@@ -187,7 +187,7 @@
 		const { promptTokens, answerTokens } = req;
 		const { promptTokens: aheadTokens, running } = this.fleet.workAt(engineId);
 		this.fleet.changeWork(engineId, { running: 1, promptTokens });
-		const request = observed(this.costs, {
+		const request = observedRequest(this.costs, {
 			service,
 			sentAt: now,
 			promptTokens,
@@ -214,11 +214,11 @@
 }
 
 cucumber.When(
-	'the same overload is replayed on engines of half, usual and double time',
+	'the same overload is replayed on engines of pace 0.5, 1 and 2',
 	function (this: FleetWorld) {
 		const trace = traceOf(11);
-		const tallies = [0.5, 1, 2].map((slower) => {
-			const replay = new Replay(slower);
+		const tallies = [0.5, 1, 2].map((pace) => {
+			const replay = new Replay(pace);
 			replay.play(trace);
 			return replay.tallies;
 		});
@@ -226,39 +226,39 @@
 	},
 );
 
-function shares(world: FleetWorld, name: string, part: keyof Tally): number[] {
+function shares(world: FleetWorld, name: string, field: keyof Tally): number[] {
 	const tallies = seen<Map<string, Tally>[]>(world, 'tallies');
 	return tallies.map((each) => {
 		const tally = each.get(name) as Tally;
-		return (100 * tally[part]) / tally.sent;
+		return (100 * tally[field]) / tally.sent;
 	});
 }
 
 cucumber.Then(
-	'each time at least {int} % of the chats are in time and none is refused',
-	function (this: FleetWorld, least: number) {
+	'in each replay at least {int} % of the chats are in time and none is refused',
+	function (this: FleetWorld, min: number) {
 		const inTime = shares(this, chat.name, 'inTime');
-		assert.ok(Math.min(...inTime) >= least, inTime.join(', '));
+		assert.ok(Math.min(...inTime) >= min, inTime.join(', '));
 		assert.deepEqual(shares(this, chat.name, 'refused'), [0, 0, 0]);
 	},
 );
 
 cucumber.Then(
-	'each time {int} to {int} % of the letters are refused, within {int} points of each other',
-	function (this: FleetWorld, least: number, most: number, apart: number) {
+	'in each replay {int} to {int} % of the letters are refused, within {int} points of each other',
+	function (this: FleetWorld, min: number, max: number, maxSpread: number) {
 		const refused = shares(this, letter.name, 'refused');
 		const text = refused.join(', ');
-		assert.ok(Math.min(...refused) >= least && Math.max(...refused) <= most, text);
-		assert.ok(Math.max(...refused) - Math.min(...refused) <= apart, text);
+		assert.ok(Math.min(...refused) >= min && Math.max(...refused) <= max, text);
+		assert.ok(Math.max(...refused) - Math.min(...refused) <= maxSpread, text);
 	},
 );
 
 cucumber.Then(
-	'each time at least {int} % of the other letters are in time',
-	function (this: FleetWorld, least: number) {
+	'in each replay at least {int} % of the accepted letters are in time',
+	function (this: FleetWorld, min: number) {
 		const refused = shares(this, letter.name, 'refused');
 		const inTime = shares(this, letter.name, 'inTime');
-		const ofTaken = inTime.map((share, at) => (100 * share) / (100 - (refused[at] ?? 0)));
-		assert.ok(Math.min(...ofTaken) >= least, ofTaken.join(', '));
+		const ofAccepted = inTime.map((share, index) => (100 * share) / (100 - (refused[index] ?? 0)));
+		assert.ok(Math.min(...ofAccepted) >= min, ofAccepted.join(', '));
 	},
 );
--- a/test/steps/relay-large-fleet.steps.ts
+++ b/test/steps/relay-large-fleet.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about decisions in a fleet of a hundred VMs: what they cost, and that sums kept up stay right.
+ * Steps for placement in a large fleet: cost of a decision, and correctness of incrementally updated sums.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -11,34 +11,34 @@
 import { place, startEngines } from './relay-placement.steps.js';
 import type { FleetWorld } from './world.js';
 
-/** Messages of each peer: some speak for all engines, some for one. */
-const messages = 6;
+/** Messages of each peer; some cover all engines, others one. */
+const messagesPerPeer = 6;
 
 cucumber.Given(
-	'{int} model engines and news of work there from {int} peers',
+	'{int} model engines and gossip about their work from {int} peers',
 	function (this: FleetWorld, count: number, peers: number) {
 		startEngines(this, count);
 		const engines = seen<Engine[]>(this, 'engines');
 		const fleet = seen<FleetView>(this, 'fleet');
 		const expected = new Map<string, number>();
 		for (let peer = 0; peer < peers; peer++) {
-			const told = new Map<string, number>();
-			for (let seq = 0; seq < messages; seq++) {
-				const own = newFleetView(this);
-				const whole = seq % 3 === 0;
+			const reported = new Map<string, number>();
+			for (let seq = 0; seq < messagesPerPeer; seq++) {
+				const sender = newFleetView(this);
+				const coversAll = seq % 3 === 0;
 				const engine = engines[(peer * 7 + seq * 13) % count] as Engine;
 				const running = 1 + ((peer + seq) % 4);
-				own.changeWork(engine.id, { running });
-				if (whole) {
-					told.clear();
+				sender.changeWork(engine.id, { running });
+				if (coversAll) {
+					reported.clear();
 				}
-				told.set(engine.id, running);
-				const work = own.composeGroup().flatMap((told) => told.work);
+				reported.set(engine.id, running);
+				const work = sender.composeGroup().flatMap((message) => message.work);
 				const from = rendezvous.hashText(engine.id);
-				const range = whole ? allEngines : { from, to: from + 1 };
+				const range = coversAll ? allEngines : { from, to: from + 1 };
 				fleet.receive(gossipMessage({ from: `peer-${peer}`, seq, engines: range, work }));
 			}
-			for (const [id, running] of told) {
+			for (const [id, running] of reported) {
 				expected.set(id, (expected.get(id) ?? 0) + running);
 			}
 		}
@@ -48,26 +48,26 @@
 
 cucumber.Then(
 	'a placement reads the clock at most {int} times',
-	function (this: FleetWorld, most: number) {
+	function (this: FleetWorld, max: number) {
 		const clock = clockOf(this);
-		const read = clock.monotonic;
-		let times = 0;
+		const monotonic = clock.monotonic;
+		let reads = 0;
 		clock.monotonic = () => {
-			times++;
+			reads++;
 			return clock.now;
 		};
-		const parts = [
+		const segments = [
 			{ id: 'shared', tokens: 300 },
 			{ id: 'own', tokens: 200 },
 		];
-		place(this, { segments: parts }, 'prompt', false);
-		clock.monotonic = read;
-		assert.ok(times <= most, `${times} times`);
+		place(this, { segments }, 'prompt', false);
+		clock.monotonic = monotonic;
+		assert.ok(reads <= max, `${reads} reads`);
 	},
 );
 
 cucumber.Then(
-	"the fleet's work at each engine is the sum of what the peers told last",
+	"the fleet's work at each engine is the sum of what each peer last reported",
 	function (this: FleetWorld) {
 		const expected = seen<Map<string, number>>(this, 'expected');
 		for (const { id } of seen<Engine[]>(this, 'engines')) {
--- a/test/steps/relay-placement.steps.ts
+++ b/test/steps/relay-placement.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about where requests go: work, divisions, waiting, health of engines.
+ * Steps for placement: cost of work, partitioning, load shedding and engine health.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -19,7 +19,7 @@
 import type { FleetWorld } from './world.js';
 
 cucumber.Given(
-	'engines that read {int} tokens a ms and make one in {int} ms',
+	'engines that read {int} tokens per ms and generate one in {int} ms',
 	function (this: FleetWorld, readPerMs: number, answerMsPerToken: number) {
 		const learned = new CostModel().of('pool');
 		this.seen.set('costs', { ...learned, readMsPerToken: 1 / readPerMs, answerMsPerToken });
@@ -34,37 +34,40 @@
 		promptTokens: number,
 		answerTokens: number,
 		slots: number,
-		least: number,
-		most: number,
+		min: number,
+		max: number,
 	) {
 		const costs = seen<CostEstimates>(this, 'costs');
 		const workMs = kind === 'long' ? longPromptWorkMs : shortPromptWorkMs;
 		const ms = workMs(costs, { promptTokens, answerTokens }, slots);
-		assert.ok(ms >= least && ms <= most, `${ms} ms`);
+		assert.ok(ms >= min && ms <= max, `${ms} ms`);
 	},
 );
 
 export function startEngines(world: FleetWorld, count: number): void {
 	const fleet = newFleetView(world);
-	const ids = Array.from({ length: count }, (_, at) => `engine-${at}`);
+	const ids = Array.from({ length: count }, (_, index) => `engine-${index}`);
 	world.seen.set('fleet', fleet);
 	world.seen.set(
 		'engines',
-		ids.map((id, at) => new Engine({ ...entry(id), address: `10.0.0.${at}:80` })),
+		ids.map((id, index) => new Engine({ ...entry(id), address: `10.0.0.${index}:80` })),
 	);
 	const connected = new Set<string>();
 	world.seen.set('connected', connected);
 	const random = { next: () => 0.5, hex: () => '' };
 	world.seen.set('ports', { random });
-	const hasFree = (address: string) => connected.has(address);
-	world.seen.set('placement', new EnginePlacement(random, fleet, new CostModel(), hasFree));
+	const hasIdleConnection = (address: string) => connected.has(address);
+	world.seen.set(
+		'placement',
+		new EnginePlacement(random, fleet, new CostModel(), hasIdleConnection),
+	);
 	world.seen.set('placed', new Map<string, string[]>());
 }
 
-/** Places a prompt and, unless told otherwise, counts its work, as a request that is sent does. */
+/** Places a prompt; if counted, also records its work like that of a sent request. */
 export function place(
 	world: FleetWorld,
-	part: Partial<PlacementRequest>,
+	overrides: Partial<PlacementRequest>,
 	label: string,
 	isCounted = true,
 ) {
@@ -79,7 +82,7 @@
 		isLeastUrgentTier: true,
 		tried: new Set(),
 		...unlimited,
-		...part,
+		...overrides,
 	};
 	const engines = seen<Engine[]>(world, 'engines');
 	const result = seen<EnginePlacement>(world, 'placement').choose(req, engines, 0);
@@ -97,19 +100,19 @@
 });
 
 cucumber.When(
-	/^(\d+) prompts? of (\d+) tokens shares? a part of (\d+)$/,
+	/^(\d+) prompts? of (\d+) tokens shares? a segment of (\d+)$/,
 	function (this: FleetWorld, prompts: string, tokens: string, shared: string) {
 		const [count = 0, promptTokens = 0, sharedTokens = 0] = [prompts, tokens, shared].map(Number);
-		for (let at = 0; at < count; at++) {
-			const own = { id: `own-${at}`, tokens: promptTokens - sharedTokens };
-			const parts = [{ id: 'shared', tokens: sharedTokens }, own];
-			this.seen.set('last', place(this, { segments: parts, promptTokens }, 'prompt'));
+		for (let index = 0; index < count; index++) {
+			const own = { id: `own-${index}`, tokens: promptTokens - sharedTokens };
+			const segments = [{ id: 'shared', tokens: sharedTokens }, own];
+			this.seen.set('last', place(this, { segments, promptTokens }, 'prompt'));
 		}
 	},
 );
 
 cucumber.When(
-	'the engine of the first has {int} prompt tokens waiting',
+	'the engine of the first prompt has {int} prompt tokens queued',
 	function (this: FleetWorld, promptTokens: number) {
 		const { engine } = seen<Placement>(this, 'last');
 		this.seen.set('first', engine);
@@ -117,15 +120,15 @@
 	},
 );
 
-/** Where a prompt goes, for each engine to which alone a connection is open. */
-function placedWithOpen(world: FleetWorld, promptTokens: number, sharedTokens: number) {
+/** Places a prompt once for each engine, with an open connection to that engine only. */
+function placeWithConnection(world: FleetWorld, promptTokens: number, sharedTokens: number) {
 	const own = { id: 'own', tokens: promptTokens - sharedTokens };
-	const parts = [{ id: 'shared', tokens: sharedTokens }, own];
+	const segments = [{ id: 'shared', tokens: sharedTokens }, own];
 	const addresses = seen<Engine[]>(world, 'engines').map((engine) => engine.registration.address);
 	return addresses.map((open) => {
 		startEngines(world, addresses.length);
 		seen<Set<string>>(world, 'connected').add(open);
-		const { engine } = place(world, { segments: parts, promptTokens }, 'prompt') as Placement;
+		const { engine } = place(world, { segments, promptTokens }, 'prompt') as Placement;
 		return { open, chosen: engine.registration.address };
 	});
 }
@@ -133,19 +136,19 @@
 cucumber.When('a connection to any one of them is open', () => {});
 
 cucumber.Then(
-	'a prompt of {int} tokens that shares {int} goes there',
+	'a prompt of {int} tokens that shares {int} is placed there',
 	function (this: FleetWorld, promptTokens: number, sharedTokens: number) {
-		const placed = placedWithOpen(this, promptTokens, sharedTokens);
+		const placed = placeWithConnection(this, promptTokens, sharedTokens);
 		const matching = placed.filter(({ open, chosen }) => open === chosen);
-		// Engines for long prompts are passed over all the same.
+		// The engines of the long-prompt pool, half of all, are not chosen for a short prompt.
 		assert.equal(matching.length, placed.length / 2);
 	},
 );
 
 cucumber.Then(
-	'a prompt of {int} tokens that shares {int} goes to the same engine whichever is open',
+	'a prompt of {int} tokens that shares {int} is placed on the same engine whichever is open',
 	function (this: FleetWorld, promptTokens: number, sharedTokens: number) {
-		const placed = placedWithOpen(this, promptTokens, sharedTokens);
+		const placed = placeWithConnection(this, promptTokens, sharedTokens);
 		assert.equal(new Set(placed.map(({ chosen }) => chosen)).size, 1);
 	},
 );
@@ -155,7 +158,7 @@
 });
 
 cucumber.Then(
-	'the last is placed on another engine, which copies {int} tokens from the first',
+	'the last prompt is placed on another engine, which copies {int} tokens from the first one',
 	function (this: FleetWorld, tokens: number) {
 		const first = seen<Engine>(this, 'first');
 		const last = seen<Placement>(this, 'last');
@@ -166,7 +169,7 @@
 );
 
 cucumber.When(
-	'a call with a copy is encoded for a caller that names an engine itself',
+	'a call with a copy source is encoded for a request whose own headers name one',
 	function (this: FleetWorld) {
 		const rawHeaders = ['Host', 'a', 'Slategauge-Attempt-Id', '1', 'Kv-Fetch', '10.9.9.9:1'];
 		const head = { method: 'POST', target: '/', rawHeaders, arrivedAt: 0 };
@@ -177,10 +180,10 @@
 	},
 );
 
-cucumber.Then('the head names only the engine to copy from', function (this: FleetWorld) {
+cucumber.Then('the headers name only the chosen copy source', function (this: FleetWorld) {
 	const head = seen<string[]>(this, 'head').map((text) => text.toLowerCase());
 	assert.deepEqual(
-		head.filter((_, at) => at % 2 === 1 && head[at - 1] === 'kv-fetch'),
+		head.filter((_, index) => index % 2 === 1 && head[index - 1] === 'kv-fetch'),
 		[seen<Engine>(this, 'first').registration.address],
 	);
 });
@@ -192,13 +195,13 @@
 cucumber.When(
 	'{int} long and {int} short prompts are placed in turn',
 	function (this: FleetWorld, long: number, short: number) {
-		for (let at = 0; at < Math.max(long, short); at++) {
-			const parts = [
-				{ id: `p${at}`, tokens: 10 },
-				{ id: `q${at}`, tokens: 10 },
+		for (let index = 0; index < Math.max(long, short); index++) {
+			const segments = [
+				{ id: `p${index}`, tokens: 10 },
+				{ id: `q${index}`, tokens: 10 },
 			];
-			place(this, { segments: parts, promptTokens: 8000, targetMs: 60_000 }, 'long');
-			place(this, { segments: parts, promptTokens: 300, isLeastUrgentTier: false }, 'short');
+			place(this, { segments, promptTokens: 8000, targetMs: 60_000 }, 'long');
+			place(this, { segments, promptTokens: 300, isLeastUrgentTier: false }, 'short');
 		}
 	},
 );
@@ -210,24 +213,24 @@
 });
 
 cucumber.Given(
-	'demand of {int} engines by short and {int} by long prompts',
+	'a demand of {int} engines by short and {int} by long prompts',
 	function (this: FleetWorld, short: number, long: number) {
 		this.seen.set('demand', { short, long });
 	},
 );
 
 cucumber.Then(
-	'of {int} engines {int} read long prompts',
+	'of {int} engines {int} are in the long-prompt pool',
 	function (this: FleetWorld, engines: number, long: number) {
-		const all = Array.from({ length: engines }, (_, at) => new Engine(entry(`engine-${at}`)));
-		const division = new EnginePartition().partition(all, seen(this, 'demand'));
-		assert.equal(division.longPool.size, long);
-		assert.equal(division.shortPool.size, engines - long);
+		const all = Array.from({ length: engines }, (_, index) => new Engine(entry(`engine-${index}`)));
+		const pools = new EnginePartition().partition(all, seen(this, 'demand'));
+		assert.equal(pools.longPool.size, long);
+		assert.equal(pools.shortPool.size, engines - long);
 	},
 );
 
 cucumber.Given(
-	'{int} model engines with {int} prompt tokens waiting on each',
+	'{int} model engines with {int} prompt tokens queued at each',
 	function (this: FleetWorld, count: number, promptTokens: number) {
 		startEngines(this, count);
 		for (const engine of seen<Engine[]>(this, 'engines')) {
@@ -237,18 +240,18 @@
 );
 
 cucumber.When(
-	'a prompt of {int} tokens with a target of {int} ms comes',
+	'a prompt of {int} tokens with a target of {int} ms arrives',
 	function (this: FleetWorld, promptTokens: number, targetMs: number) {
-		const parts = [
+		const segments = [
 			{ id: 'a', tokens: 10 },
 			{ id: 'b', tokens: promptTokens - 10 },
 		];
-		const req = { parts, promptTokens, targetMs, leastUrgent: true };
+		const req = { segments, promptTokens, targetMs, isLeastUrgentTier: true };
 		this.seen.set('last', place(this, req, 'huge', false));
 	},
 );
 
-cucumber.When('news may be {int} ms old', function (this: FleetWorld, ms: number) {
+cucumber.When('gossip is up to {int} ms old', function (this: FleetWorld, ms: number) {
 	seen<FleetView>(this, 'fleet').maxGossipAgeMs = ms;
 });
 
@@ -260,63 +263,63 @@
 	assert.ok('refusal' in seen<object>(this, 'last'));
 });
 
-/** Whether a prompt goes to the engines of long prompts, told by the reason given. */
+/** Whether a prompt counts as long, by the reason of its placement. */
 function isLong(world: FleetWorld, promptTokens: number, pauseMs?: number): boolean {
-	const parts = [
+	const segments = [
 		{ id: 'shared', tokens: 10 },
 		{ id: 'own', tokens: promptTokens - 10 },
 	];
-	const req = { parts, promptTokens, tightestPauseMs: pauseMs, targetMs: 60_000 };
+	const req = { segments, promptTokens, tightestPauseMs: pauseMs, targetMs: 60_000 };
 	const { reason } = place(world, req, 'prompt', false) as Placement;
 	return reason.startsWith('long');
 }
 
 cucumber.Then(
-	/^beside streams that may pause (\d+) ms a prompt of (\d+) tokens is (long|short)$/,
+	/^with a target pause of (\d+) ms a prompt of (\d+) tokens is (long|short)$/,
 	function (this: FleetWorld, pause: string, tokens: string, kind: string) {
 		assert.equal(isLong(this, Number(tokens), Number(pause)), kind === 'long');
 	},
 );
 
-cucumber.Then('where no stream has a target pause no prompt is long', function (this: FleetWorld) {
+cucumber.Then('without a target pause no prompt is long', function (this: FleetWorld) {
 	assert.equal(isLong(this, 30_000), false);
 });
 
-const twoParts = [
+const twoSegments = [
 	{ id: 'a', tokens: 10 },
 	{ id: 'b', tokens: 10 },
 ];
 
 cucumber.Then(
-	'a prompt of the least urgent tier is refused with a time to come back',
+	'a prompt of the least urgent tier is refused with a retry time',
 	function (this: FleetWorld) {
-		const result = place(this, { segments: twoParts, isLeastUrgentTier: true }, 'low');
+		const result = place(this, { segments: twoSegments, isLeastUrgentTier: true }, 'low');
 		assert.ok('refusal' in result && result.retryAfterS > 0);
 	},
 );
 
 cucumber.Then('a more urgent prompt is placed', function (this: FleetWorld) {
-	assert.ok('engine' in place(this, { segments: twoParts, isLeastUrgentTier: false }, 'high'));
+	assert.ok('engine' in place(this, { segments: twoSegments, isLeastUrgentTier: false }, 'high'));
 });
 
-cucumber.Given('an engine that failed 3 times in a row', function (this: FleetWorld) {
+cucumber.Given('an engine that failed 3 requests in a row', function (this: FleetWorld) {
 	const health = new EngineHealth();
-	for (let at = 0; at < 3; at++) {
+	for (let index = 0; index < 3; index++) {
 		health.recordFailure(clockOf(this).now);
 	}
 	this.seen.set('health', health);
 });
 
-cucumber.Given('an engine that rejected 3 times in a row', function (this: FleetWorld) {
+cucumber.Given('an engine that rejected 3 requests in a row', function (this: FleetWorld) {
 	const health = new EngineHealth();
-	for (let at = 0; at < 3; at++) {
+	for (let index = 0; index < 3; index++) {
 		health.recordRejection(clockOf(this).now);
 	}
 	this.seen.set('health', health);
 });
 
 cucumber.Given(
-	'an engine with a request under way and no word for {int} ms',
+	'an engine with a request in flight and no bytes for {int} ms',
 	function (this: FleetWorld, ms: number) {
 		const health = new EngineHealth();
 		health.recordSent(clockOf(this).now, 0);
@@ -325,17 +328,17 @@
 	},
 );
 
-cucumber.Then('it admits nothing', function (this: FleetWorld) {
+cucumber.Then('it is not available', function (this: FleetWorld) {
 	assert.equal(seen<EngineHealth>(this, 'health').isAvailable(clockOf(this).now), false);
 });
 
-cucumber.When('its trial ends without a verdict', function (this: FleetWorld) {
+cucumber.When('its trial request ends inconclusively', function (this: FleetWorld) {
 	const health = seen<EngineHealth>(this, 'health');
 	health.recordSent(clockOf(this).now, 0);
 	health.recordEnd(0);
 });
 
-cucumber.Then('it admits 1 request until that one ends', function (this: FleetWorld) {
+cucumber.Then('it is available for 1 request until that one ends', function (this: FleetWorld) {
 	const health = seen<EngineHealth>(this, 'health');
 	const { now } = clockOf(this);
 	assert.equal(health.isAvailable(now), true);
@@ -346,13 +349,13 @@
 	assert.equal(health.isAvailable(now), true);
 });
 
-cucumber.When('the first event of the first comes', function (this: FleetWorld) {
+cucumber.When('the first event of the first prompt arrives', function (this: FleetWorld) {
 	const { id } = seen<Engine>(this, 'first');
 	seen<FleetView>(this, 'fleet').recordPrefill([{ id: 'shared', tokens: 5000 }], id, true);
 });
 
 cucumber.Given(
-	'{int} model engines of which {int} have read a part of {int} tokens and are busy',
+	'{int} model engines of which {int} have cached a segment of {int} tokens and are busy',
 	function (this: FleetWorld, count: number, readers: number, tokens: number) {
 		startEngines(this, count);
 		const fleet = seen<FleetView>(this, 'fleet');
@@ -369,15 +372,10 @@
 		const next = seededRandom(5);
 		seen<{ random: { next: () => number } }>(this, 'ports').random.next = next;
 		const sources = new Map<string, number>();
-		for (let at = 0; at < prompts; at++) {
-			const own = { id: `own-${at}`, tokens: promptTokens - 5000 };
-			const parts = [{ id: 'shared', tokens: 5000 }, own];
-			const { copyFrom } = place(
-				this,
-				{ segments: parts, promptTokens },
-				'prompt',
-				false,
-			) as Placement;
+		for (let index = 0; index < prompts; index++) {
+			const own = { id: `own-${index}`, tokens: promptTokens - 5000 };
+			const segments = [{ id: 'shared', tokens: 5000 }, own];
+			const { copyFrom } = place(this, { segments, promptTokens }, 'prompt', false) as Placement;
 			const id = copyFrom?.id ?? 'none';
 			sources.set(id, (sources.get(id) ?? 0) + 1);
 		}
@@ -386,10 +384,10 @@
 );
 
 cucumber.Then(
-	'each of the {int} is copied from by {int} or more',
-	function (this: FleetWorld, engines: number, least: number) {
+	'each of the {int} is the source of {int} or more copies',
+	function (this: FleetWorld, engines: number, min: number) {
 		const sources = [...seen<Map<string, number>>(this, 'sources').values()];
 		assert.equal(sources.length, engines);
-		assert.ok(Math.min(...sources) >= least, sources.join(', '));
+		assert.ok(Math.min(...sources) >= min, sources.join(', '));
 	},
 );
