--- a/src/core/orders/order-giver.ts
+++ b/src/core/orders/order-sender.ts
@@ -28,7 +28,7 @@
 const loadOrders = new Set<EndpointOrder['kind']>(['load-model', 'load-adapter', 'set-version']);
 const weightsKey = 'slategauge/orders/weights';
 
-export interface OrderGiverOptions {
+export interface OrderSenderOptions {
 	kv: KvStore;
 	clock: Clock;
 	random: Random;
@@ -62,11 +62,11 @@
 	token: number;
 }
 
-export class OrderGiver {
-	constructor(private readonly opts: OrderGiverOptions) {}
+export class OrderSender {
+	constructor(private readonly opts: OrderSenderOptions) {}
 
 	/** Resolves with the fencing token when the endpoint has taken the order. */
-	async give(request: OrderRequest): Promise<number> {
+	async send(request: OrderRequest): Promise<number> {
 		const askedAt = this.opts.clock.sinceBoot();
 		const held: Held[] = [];
 		try {
@@ -77,7 +77,7 @@
 			const own = await this.acquire(`slategauge/orders/endpoint/${request.endpoint}`);
 			held.push(own);
 			return request.checksFencing
-				? await this.send(request, own, askedAt)
+				? await this.sendUnderLease(request, own, askedAt)
 				: await this.sendUnchecked(request, own, askedAt);
 		} catch (err) {
 			throw err instanceof KvError ? new errors.UserError(errors.data.PlatformUnavailable) : err;
@@ -111,7 +111,7 @@
 		if (!open.swapped) {
 			throw new errors.UserError(errors.data.OrderInProgress, [request.endpoint, 'another VM']);
 		}
-		const token = await this.send(request, own, freshSince);
+		const token = await this.sendUnderLease(request, own, freshSince);
 		await this.opts.kv.swap(doneKey, open.rev, 'done');
 		return token;
 	}
@@ -130,7 +130,11 @@
 		}
 	}
 
-	private async send(request: OrderRequest, own: Held, freshSince: number): Promise<number> {
+	private async sendUnderLease(
+		request: OrderRequest,
+		own: Held,
+		freshSince: number,
+	): Promise<number> {
 		const { kind, argument } = request;
 		if (this.opts.clock.sinceBoot() - freshSince > sendBeforeMs) {
 			throw new errors.UserError(errors.data.OrderLeaseLost);
--- a/src/core/requests/router.ts
+++ b/src/core/requests/router.ts
@@ -6,7 +6,7 @@
 import type { ConfigurationView } from '../configuration/index.js';
 import type { Clock, EndpointClient, Metrics } from '../definitions.js';
 import * as errors from '../errors/index.js';
-import type { EntryState, RunResult, Slot, SlotPolicy } from '../scheduling/definitions.js';
+import type { RunResult, SchedulingState, Slot, SlotPolicy } from '../scheduling/definitions.js';
 import type { QueueLimits } from '../scheduling/request-queue.js';
 import { RequestQueue } from '../scheduling/request-queue.js';
 import type { Timeline } from '../timeline/index.js';
@@ -162,20 +162,20 @@
 	}
 
 	/** State that policies decide on; undefined before a configuration came. */
-	state(): EntryState | undefined {
+	state(): SchedulingState | undefined {
 		if (!this.cfg) {
 			return undefined;
 		}
-		return { now: this.clock.monotonic(), cfg: this.cfg, queue: this.queue, shares: this };
+		return { now: this.clock.monotonic(), cfg: this.cfg, queue: this.queue, ordering: this };
 	}
 
 	/** Running requests of a customer. */
-	of(customer: string): number {
+	customerShare(customer: string): number {
 		return this.runningByCustomer.get(customer) ?? 0;
 	}
 
 	/** Estimated milliseconds from a dispatch to its first token. */
-	leadMs(req: Request): number {
+	firstTokenLeadMs(req: Request): number {
 		const estimate = this.durations.firstTokenMs(req.cls.name, req.customer);
 		return estimate * leadFactor + leadMarginMs;
 	}
@@ -188,23 +188,23 @@
 
 	requeue(run: RequestRun): void {
 		this.forgiveWhenAlone(run.req);
-		this.queue.readd(run.req);
+		this.queue.requeue(run.req);
 		this.pumpSoon();
 	}
 
 	released(run: RequestRun, slot: Slot, result: RunResult): void {
 		const customer = run.req.customer;
-		this.runningByCustomer.set(customer, this.of(customer) - 1 / run.req.weight);
+		this.runningByCustomer.set(customer, this.customerShare(customer) - 1 / run.req.weight);
 		if (!result.failed && !result.cancelled && result.firstTokenMs !== undefined) {
 			const took = this.clock.monotonic() - slot.startedAt;
 			this.durations.add(run.req.cls.name, customer, took, result.firstTokenMs);
 		}
-		this.policy?.release(run.req, slot, result, this.clock.monotonic());
+		this.policy?.releaseSlot(run.req, slot, result, this.clock.monotonic());
 		this.pumpSoon();
 	}
 
 	observed(run: RequestRun, slot: Slot, gapMs: number): void {
-		this.policy?.observe(run.req, slot, gapMs, this.clock.monotonic());
+		this.policy?.recordInterTokenLatency(run.req, slot, gapMs, this.clock.monotonic());
 	}
 
 	ended(run: RequestRun, outcome: string, tokens: number): void {
@@ -265,9 +265,9 @@
 		if (!state || !this.policy || state.now < this.pauseUntil) {
 			return;
 		}
-		for (const { req, slot } of this.policy.takeStarts(state)) {
+		for (const { req, slot } of this.policy.assignSlots(state)) {
 			const run = this.runs.get(req.ticket);
-			this.runningByCustomer.set(req.customer, this.of(req.customer) + 1 / req.weight);
+			this.runningByCustomer.set(req.customer, this.customerShare(req.customer) + 1 / req.weight);
 			if (run) {
 				this.opts.metrics.timing('requests.waited', state.now - req.waitingSince, {
 					class: req.cls.name,
--- a/src/core/requests/run.ts
+++ b/src/core/requests/run.ts
@@ -219,7 +219,7 @@
 		this.resetAttempt();
 		this.timeline.record(eventKinds.requestStarted, {
 			endpoint: slot.endpoint,
-			floor: slot.floor,
+			floor: slot.isFloor,
 			value: this.req.offset,
 		});
 		this.call = this.host.endpoints.open(
@@ -230,7 +230,7 @@
 				path: this.template.path,
 				headers: this.template.headers,
 				body: this.template.body,
-				priority: slot.floor ? floorPriority : this.req.cls.tier,
+				priority: slot.isFloor ? floorPriority : this.req.cls.tier,
 				offset: this.req.offset,
 				stallMs: this.host.stallMs,
 			},
--- a/src/core/scheduling/limit-learner.ts
+++ b/src/core/scheduling/adaptive-limit.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import type { Observed } from './types.js';
+import type { EndpointObservations } from './types.js';
 
 /** Time between two decisions, in milliseconds. */
 const windowMs = 500;
@@ -22,15 +22,15 @@
 const minClosedMs = 500;
 const maxClosedMs = 5000;
 
-export interface LearnerOptions {
-	start: number;
+export interface AdaptiveLimitOptions {
+	initial: number;
 	max: number;
 	/** Without it the limit stays, errors apart. */
-	learns: boolean;
+	isAdaptive: boolean;
 }
 
 /** Decides on one endpoint's limit. */
-export class LimitLearner {
+export class AdaptiveLimit {
 	private value: number;
 	private gapSum = 0;
 	/** Strictest target of late, and when it was seen last, in milliseconds. */
@@ -43,14 +43,14 @@
 	private closedMs = minClosedMs;
 	private probing = false;
 
-	constructor(private opts: LearnerOptions) {
-		this.value = opts.start;
+	constructor(private opts: AdaptiveLimitOptions) {
+		this.value = opts.initial;
 	}
 
 	/** Takes in a changed configuration; what was learned stays, within the new bounds. */
-	configure(opts: LearnerOptions): void {
+	configure(opts: AdaptiveLimitOptions): void {
 		this.opts = opts;
-		this.value = opts.learns ? Math.min(this.value, opts.max) : opts.start;
+		this.value = opts.isAdaptive ? Math.min(this.value, opts.max) : opts.initial;
 	}
 
 	/** Requests that may run at once; 0 while the endpoint is closed, 1 while it is tried again. */
@@ -63,14 +63,14 @@
 
 	/** Takes over what the owner before had learned. */
 	inherit(limit: number): void {
-		if (limit > 0 && this.opts.learns) {
+		if (limit > 0 && this.opts.isAdaptive) {
 			this.value = Math.min(limit, this.opts.max);
 		}
 	}
 
 	/** Takes in what one entry saw. */
-	observe(observed: Observed, now: number): void {
-		const { gapMs, targetMs, completions, failures } = observed;
+	observe(observed: EndpointObservations, now: number): void {
+		const { interTokenMs: gapMs, interTokenTargetMs: targetMs, completions, failures } = observed;
 		if (gapMs > 0) {
 			this.gapSum += gapMs;
 			this.samples++;
@@ -88,8 +88,8 @@
 	}
 
 	/** Decides at the end of each window; true when the limit changed. */
-	decide(used: number, now: number): boolean {
-		if (now < this.windowEnd || !this.opts.learns || this.probing) {
+	update(used: number, now: number): boolean {
+		if (now < this.windowEnd || !this.opts.isAdaptive || this.probing) {
 			return false;
 		}
 		this.windowEnd = now + windowMs;
--- a/src/core/scheduling/definitions.ts
+++ b/src/core/scheduling/definitions.ts
@@ -4,13 +4,13 @@
  */
 import type { ConfigurationView } from '../configuration/index.js';
 import type { Request } from '../requests/types.js';
-import type { RequestQueue, Shares } from './request-queue.js';
+import type { OrderingContext, RequestQueue } from './request-queue.js';
 
 /** A place on an endpoint that a request runs in. */
 export interface Slot {
 	readonly endpoint: string;
 	/** Runs outside the limit, so that its class makes progress. */
-	readonly floor: boolean;
+	readonly isFloor: boolean;
 	readonly startedAt: number;
 }
 
@@ -28,15 +28,15 @@
 }
 
 /** What a policy is given each time it decides. */
-export interface EntryState {
+export interface SchedulingState {
 	now: number;
 	cfg: ConfigurationView;
 	queue: RequestQueue;
-	shares: Shares;
+	ordering: OrderingContext;
 }
 
 /** A decision to start a request. */
-export interface Start {
+export interface SlotAssignment {
 	req: Request;
 	slot: Slot;
 }
@@ -44,13 +44,13 @@
 /** Decides which waiting request may start, and where. */
 export interface SlotPolicy {
 	/** Takes the starts that are possible now; taken requests have left the queue. */
-	takeStarts(state: EntryState): Start[];
+	assignSlots(state: SchedulingState): SlotAssignment[];
 	/** Mean milliseconds between a run's newest tokens; called a few times a second at most. */
-	observe(req: Request, slot: Slot, gapMs: number, now: number): void;
+	recordInterTokenLatency(req: Request, slot: Slot, gapMs: number, now: number): void;
 	/** A run has ended. */
-	release(req: Request, slot: Slot, result: RunResult, now: number): void;
+	releaseSlot(req: Request, slot: Slot, result: RunResult, now: number): void;
 	/** Milliseconds a request of this tier and target would wait; 0 when not known. */
-	estimateWaitMs(state: EntryState, req: Request): number;
+	estimateWaitMs(state: SchedulingState, req: Request): number;
 	/** Whether an endpoint may be given work right now; asked again at dispatch. */
 	mayDispatch(endpoint: string): boolean;
 }
--- a/src/core/scheduling/asked-endpoints.ts
+++ b/src/core/scheduling/endpoint-subsets.ts
@@ -5,7 +5,7 @@
  */
 import type { ConfigurationView, Endpoint } from '../configuration/index.js';
 import * as rendezvous from '../membership/rendezvous.js';
-import { floorClasses } from './floors.js';
+import { floorClassesByEndpoint } from './floors.js';
 
 /** Endpoints of one kind that an entry asks at the least, if there are so many. */
 const minAsked = 16;
@@ -13,7 +13,7 @@
 const askersPerEndpoint = 4;
 
 /** Groups of endpoints that serve the same things, cut to those that `self` asks. */
-export function askedEndpoints(
+export function selectEndpointSubsets(
 	cfg: ConfigurationView,
 	self: string,
 	fleetSize: number,
@@ -29,7 +29,7 @@
 			groups.set(key, [endpoint]);
 		}
 	}
-	const floors = floorClasses(cfg);
+	const floors = floorClassesByEndpoint(cfg);
 	return [...groups.values()].map((group) => choose(group, floors, self, fleetSize));
 }
 
--- a/src/core/scheduling/floors.ts
+++ b/src/core/scheduling/floors.ts
@@ -6,7 +6,7 @@
 import * as rendezvous from '../membership/rendezvous.js';
 
 /** Names of the classes whose minimum an endpoint serves, by endpoint. */
-export function floorClasses(cfg: ConfigurationView): Map<string, Set<string>> {
+export function floorClassesByEndpoint(cfg: ConfigurationView): Map<string, Set<string>> {
 	const floors = new Map<string, Set<string>>();
 	for (const target of targetsOf(cfg)) {
 		for (const cls of cfg.document.classes) {
--- a/src/core/scheduling/granted-policy.ts
+++ b/src/core/scheduling/granted-policy.ts
@@ -8,12 +8,18 @@
 import * as rendezvous from '../membership/rendezvous.js';
 import type { Request } from '../requests/types.js';
 import { avoids } from '../requests/types.js';
-import { askedEndpoints } from './asked-endpoints.js';
-import type { EntryState, RunResult, Slot, SlotPolicy, Start } from './definitions.js';
-import { chooseAsked } from './first-asked.js';
-import { Holding } from './holding.js';
+import type {
+	RunResult,
+	SchedulingState,
+	Slot,
+	SlotAssignment,
+	SlotPolicy,
+} from './definitions.js';
+import { selectEndpointSubsets } from './endpoint-subsets.js';
+import { HeldSlots } from './held-slots.js';
+import { selectReportTargets } from './report-targets.js';
 import type { Candidate } from './request-queue.js';
-import type { HolderReport, NameHash, OwnerReply, Ticket } from './types.js';
+import type { HolderReport, NameHash, OwnerReply, SlotRequest } from './types.js';
 
 /** Best waiting requests told to an owner. */
 const wantedBest = 8;
@@ -26,7 +32,7 @@
 
 export interface GrantedPolicyOptions {
 	/** Sends a report to an endpoint's owner. */
-	send: (owner: string, report: HolderReport) => void;
+	sendReport: (owner: string, report: HolderReport) => void;
 	/** Owner of an endpoint, undefined while there is none. */
 	ownerOf: (endpoint: string) => string | undefined;
 	/** Cuts off a run. */
@@ -44,24 +50,24 @@
 }
 
 export class GrantedPolicy implements SlotPolicy {
-	private readonly holdings = new Map<string, Holding>();
-	private cachedFor?: EntryState['cfg'];
+	private readonly holdings = new Map<string, HeldSlots>();
+	private cachedFor?: SchedulingState['cfg'];
 	private groups: Endpoint[][] = [];
 
 	constructor(private readonly opts: GrantedPolicyOptions) {}
 
 	/** What this entry holds on an endpoint. */
-	holding(endpoint: string): Holding {
+	heldSlots(endpoint: string): HeldSlots {
 		let holding = this.holdings.get(endpoint);
 		if (!holding) {
-			holding = new Holding(endpoint, this.opts.firstSeq);
+			holding = new HeldSlots(endpoint, this.opts.firstSeq);
 			this.holdings.set(endpoint, holding);
 		}
 		return holding;
 	}
 
-	takeStarts(state: EntryState): Start[] {
-		const starts: Start[] = [];
+	assignSlots(state: SchedulingState): SlotAssignment[] {
+		const starts: SlotAssignment[] = [];
 		this.useGrants(state, starts);
 		this.useIdle(state, starts);
 		return starts;
@@ -71,7 +77,7 @@
 	 * Sends the reports that are due. Called after starts were taken, and in between. True when it
 	 * should be called again soon, since some owners have not been told of waiting work.
 	 */
-	report(state: EntryState): boolean {
+	sendDueReports(state: SchedulingState): boolean {
 		this.groupEndpoints(state);
 		let again = false;
 		for (const endpoints of this.groups) {
@@ -81,13 +87,13 @@
 	}
 
 	/** Takes in what an owner said. */
-	receive(from: string, reply: OwnerReply, now: number): void {
-		const holding = this.holding(reply.endpoint);
+	applyReply(from: string, reply: OwnerReply, now: number): void {
+		const holding = this.heldSlots(reply.endpoint);
 		if (from !== this.opts.ownerOf(reply.endpoint)) {
 			return;
 		}
-		if (holding.takeIn(reply, now)) {
-			for (const ticket of reply.preempt) {
+		if (holding.applyReply(reply, now)) {
+			for (const ticket of reply.preemptTickets) {
 				this.opts.preempt(ticket);
 			}
 			this.opts.wake();
@@ -95,13 +101,13 @@
 	}
 
 	/** Members changed: endpoints with another owner are told to it at once. */
-	ownersChanged(): void {
+	refreshOwners(): void {
 		this.cachedFor = undefined;
 		for (const holding of this.holdings.values()) {
 			const owner = this.opts.ownerOf(holding.endpoint);
 			if (owner !== holding.owner) {
 				holding.owner = owner;
-				holding.unacknowledge();
+				holding.requireReport();
 			}
 		}
 		this.opts.wake();
@@ -110,57 +116,57 @@
 	/** This process was paused: what owners granted before is no longer theirs to keep. */
 	dropGrants(): void {
 		for (const holding of this.holdings.values()) {
-			holding.dropUnused();
+			holding.dropUnusedSlots();
 		}
 	}
 
-	observe(req: Request, slot: Slot, gapMs: number, now: number): void {
-		this.holding(slot.endpoint).noteGap(gapMs, req.cls.between_tokens_ms, now);
+	recordInterTokenLatency(req: Request, slot: Slot, gapMs: number, now: number): void {
+		this.heldSlots(slot.endpoint).recordInterTokenLatency(gapMs, req.cls.between_tokens_ms, now);
 	}
 
-	release(req: Request, slot: Slot, result: RunResult, now: number): void {
-		const holding = this.holding(slot.endpoint);
-		holding.ended(req.ticket, slot, now);
+	releaseSlot(req: Request, slot: Slot, result: RunResult, now: number): void {
+		const holding = this.heldSlots(slot.endpoint);
+		holding.recordEnd(req.ticket, slot, now);
 		if (result.failed) {
-			holding.observed.failures++;
+			holding.observations.failures++;
 		} else if (!result.cancelled) {
-			holding.observed.completions++;
+			holding.observations.completions++;
 		}
 	}
 
 	/** Work of this and higher tiers that waits over the fleet, over the rate of its endpoints. */
-	estimateWaitMs(state: EntryState, req: Request): number {
+	estimateWaitMs(state: SchedulingState, req: Request): number {
 		let rate = 0;
 		let ahead = 0;
 		for (const endpoint of state.cfg.eligible(req.target, req.cls.name)) {
-			const { reply } = this.holding(endpoint.name);
-			rate += reply?.rate ?? 0;
+			const { lastReply: reply } = this.heldSlots(endpoint.name);
+			rate += reply?.completionsPerS ?? 0;
 			ahead = Math.max(ahead, countAhead(reply, req.cls.tier));
 		}
 		return rate > 0 ? (ahead / rate) * 1000 : 0;
 	}
 
 	mayDispatch(endpoint: string): boolean {
-		return this.holding(endpoint).reply?.closed !== true;
+		return this.heldSlots(endpoint).lastReply?.isUnavailable !== true;
 	}
 
-	private useGrants(state: EntryState, starts: Start[]): void {
+	private useGrants(state: SchedulingState, starts: SlotAssignment[]): void {
 		for (const holding of this.holdings.values()) {
 			const endpoint = state.cfg.endpointNamed(holding.endpoint);
-			for (const grant of holding.takeOffers()) {
-				const req = endpoint && this.bestFor(state, endpoint, grant.tier, grant.floor);
+			for (const grant of holding.takeNewGrants()) {
+				const req = endpoint && this.bestFor(state, endpoint, grant.tier, grant.floorClass);
 				if (req) {
-					const floor = grant.floor !== undefined;
+					const floor = grant.floorClass !== undefined;
 					starts.push(this.start(state, holding, req, floor));
-				} else if (grant.floor === undefined) {
-					holding.keepOrReturn(state.now);
+				} else if (grant.floorClass === undefined) {
+					holding.keepOrReturnSlot(state.now);
 				}
 			}
 		}
 	}
 
 	private bestFor(
-		state: EntryState,
+		state: SchedulingState,
 		endpoint: Endpoint,
 		tier: number,
 		floor: NameHash | undefined,
@@ -170,34 +176,34 @@
 				floor === undefined ? head.cls.tier <= tier : rendezvous.hashName(head.cls.name) === floor;
 			return fits && isEligible(state, endpoint, head);
 		};
-		const candidates = state.queue.best(state.now, state.shares, wantedPerGroup, accepts);
+		const candidates = state.queue.selectBest(state.now, state.ordering, wantedPerGroup, accepts);
 		return candidates.find(({ req }) => !avoids(req, endpoint.name, state.now))?.req;
 	}
 
-	private useIdle(state: EntryState, starts: Start[]): void {
+	private useIdle(state: SchedulingState, starts: SlotAssignment[]): void {
 		let idle = 0;
 		for (const holding of this.holdings.values()) {
-			idle += holding.usableIdle;
+			idle += holding.usableIdleSlots;
 		}
 		if (idle === 0 || state.queue.size === 0) {
 			return;
 		}
-		const candidates = state.queue.best(state.now, state.shares, idle, () => true);
+		const candidates = state.queue.selectBest(state.now, state.ordering, idle, () => true);
 		for (const { req } of candidates) {
 			const holding = this.leastLoadedIdle(state, req);
 			if (holding) {
-				holding.idle--;
+				holding.idleSlots--;
 				starts.push(this.start(state, holding, req, false));
 			}
 		}
 	}
 
-	private leastLoadedIdle(state: EntryState, req: Request): Holding | undefined {
-		let best: Holding | undefined;
+	private leastLoadedIdle(state: SchedulingState, req: Request): HeldSlots | undefined {
+		let best: HeldSlots | undefined;
 		let bestLoad = Number.POSITIVE_INFINITY;
 		for (const endpoint of state.cfg.eligible(req.target, req.cls.name)) {
-			const holding = this.holding(endpoint.name);
-			const open = holding.usableIdle > 0 && !avoids(req, endpoint.name, state.now);
+			const holding = this.heldSlots(endpoint.name);
+			const open = holding.usableIdleSlots > 0 && !avoids(req, endpoint.name, state.now);
 			const load = open ? holding.load : Number.POSITIVE_INFINITY;
 			if (load < bestLoad) {
 				best = holding;
@@ -207,22 +213,27 @@
 		return best;
 	}
 
-	private start(state: EntryState, holding: Holding, req: Request, floor: boolean): Start {
+	private start(
+		state: SchedulingState,
+		holding: HeldSlots,
+		req: Request,
+		floor: boolean,
+	): SlotAssignment {
 		state.queue.remove(req);
-		const slot: Slot = { endpoint: holding.endpoint, floor, startedAt: state.now };
-		holding.started(req, floor, state.now);
+		const slot: Slot = { endpoint: holding.endpoint, isFloor: floor, startedAt: state.now };
+		holding.recordStart(req, floor, state.now);
 		return { req, slot };
 	}
 
-	private groupEndpoints(state: EntryState): void {
+	private groupEndpoints(state: SchedulingState): void {
 		if (this.cachedFor !== state.cfg) {
 			this.cachedFor = state.cfg;
-			this.groups = askedEndpoints(state.cfg, this.opts.self, this.opts.fleetSize());
+			this.groups = selectEndpointSubsets(state.cfg, this.opts.self, this.opts.fleetSize());
 		}
 	}
 
 	/** True when some owners have not been told of waiting work. */
-	private reportGroup(state: EntryState, endpoints: Endpoint[]): boolean {
+	private reportGroup(state: SchedulingState, endpoints: Endpoint[]): boolean {
 		const [sample] = endpoints;
 		if (!sample) {
 			return false;
@@ -231,18 +242,18 @@
 		const candidates =
 			state.queue.size === 0
 				? []
-				: state.queue.best(state.now, state.shares, wantedPerGroup, accepts);
+				: state.queue.selectBest(state.now, state.ordering, wantedPerGroup, accepts);
 		const wanted = pickWanted(candidates);
-		const backlog = [...state.queue.backlog(accepts).entries()];
+		const backlog = [...state.queue.countByTier(accepts).entries()];
 		const urgentAt = this.urgentEndpoint(endpoints);
-		const holdings = endpoints.map((endpoint) => this.holding(endpoint.name));
-		const asked = chooseAsked(holdings, wanted, state.now);
+		const holdings = endpoints.map((endpoint) => this.heldSlots(endpoint.name));
+		const asked = selectReportTargets(holdings, wanted, state.now);
 		for (const holding of holdings) {
 			const mayUrge = holding.endpoint === urgentAt;
 			const want = wanted
 				.filter(({ req }) => asked.has(holding) && !avoids(req, holding.endpoint, state.now))
 				.map((candidate) => ticketOf(state, candidate, mayUrge));
-			holding.noteWanted(want, state.now);
+			holding.updateSlotRequests(want, state.now);
 			if (isDue(holding, state.now)) {
 				this.sendReport(state, holding, want, backlog);
 			}
@@ -251,9 +262,9 @@
 	}
 
 	private sendReport(
-		state: EntryState,
-		holding: Holding,
-		want: Ticket[],
+		state: SchedulingState,
+		holding: HeldSlots,
+		want: SlotRequest[],
 		backlog: [number, number][],
 	): void {
 		const owner = this.opts.ownerOf(holding.endpoint);
@@ -261,8 +272,8 @@
 			return;
 		}
 		holding.owner = owner;
-		const report = holding.makeReport(want, backlog, state.now, this.opts.isPreemptable);
-		this.opts.send(owner, report);
+		const report = holding.buildReport(want, backlog, state.now, this.opts.isPreemptable);
+		this.opts.sendReport(owner, report);
 	}
 
 	/** The endpoint that runs the lowest work; only its owner is asked to preempt. */
@@ -270,7 +281,7 @@
 		let lowest = 0;
 		let name: string | undefined;
 		for (const endpoint of endpoints) {
-			const tier = this.holding(endpoint.name).reply?.lowest ?? 0;
+			const tier = this.heldSlots(endpoint.name).lastReply?.lowestPreemptableTier ?? 0;
 			if (tier > lowest) {
 				lowest = tier;
 				name = endpoint.name;
@@ -293,36 +304,36 @@
 	return wanted;
 }
 
-function isDue(holding: Holding, now: number): boolean {
+function isDue(holding: HeldSlots, now: number): boolean {
 	const unanswered = holding.sentSeq > holding.ackedSeq;
 	const resend = unanswered && now - holding.sentAt > resendMs;
 	const refresh = !holding.isEmpty && now - holding.sentAt > refreshMs;
-	return holding.urgent || now >= holding.dueAt || resend || refresh;
+	return holding.isReportUrgent || now >= holding.reportDueAt || resend || refresh;
 }
 
-function ticketOf(state: EntryState, candidate: Candidate, mayUrge: boolean): Ticket {
+function ticketOf(state: SchedulingState, candidate: Candidate, mayUrge: boolean): SlotRequest {
 	const { req } = candidate;
 	const waited = state.now - req.waitingSince;
 	const patience = state.cfg.document.policy.preempt_after * req.cls.first_token_ms;
 	return {
 		ticket: req.ticket,
 		tier: req.cls.tier,
-		cls: rendezvous.hashName(req.cls.name),
-		customer: rendezvous.hashName(req.customer),
-		slack: Math.round(candidate.slack - state.shares.leadMs(req)),
-		late: candidate.late,
-		waited: Math.round(waited),
-		urgent: mayUrge && waited > patience,
+		classHash: rendezvous.hashName(req.cls.name),
+		customerHash: rendezvous.hashName(req.customer),
+		slackMs: Math.round(candidate.slackMs - state.ordering.firstTokenLeadMs(req)),
+		isLate: candidate.isLate,
+		waitedMs: Math.round(waited),
+		requestsPreemption: mayUrge && waited > patience,
 	};
 }
 
-function isEligible(state: EntryState, endpoint: Endpoint, req: Request): boolean {
+function isEligible(state: SchedulingState, endpoint: Endpoint, req: Request): boolean {
 	return state.cfg.eligible(req.target, req.cls.name).includes(endpoint);
 }
 
 function countAhead(reply: OwnerReply | undefined, tier: number): number {
 	let ahead = 0;
-	for (const [other, count] of reply?.ahead ?? []) {
+	for (const [other, count] of reply?.waitingByTier ?? []) {
 		ahead += other <= tier ? count : 0;
 	}
 	return ahead;
--- a/src/core/scheduling/holding.ts
+++ b/src/core/scheduling/held-slots.ts
@@ -7,13 +7,13 @@
 import type { Request } from '../requests/types.js';
 import type { Slot } from './definitions.js';
 import type {
+	EndpointObservations,
 	Grant,
 	HolderReport,
 	NameHash,
-	Observed,
 	OwnerReply,
 	RunningSlot,
-	Ticket,
+	SlotRequest,
 } from './types.js';
 
 /** Unused slots are given back after so long, in milliseconds. */
@@ -32,19 +32,19 @@
 	floor: boolean;
 }
 
-export class Holding {
+export class HeldSlots {
 	owner?: string;
-	reply?: OwnerReply;
+	lastReply?: OwnerReply;
 	/** Slots held unused. */
-	idle = 0;
+	idleSlots = 0;
 	sentSeq: number;
 	ackedSeq: number;
 	sentAt = 0;
 	/** When what is untold must be told at the latest. */
-	dueAt = Number.POSITIVE_INFINITY;
+	reportDueAt = Number.POSITIVE_INFINITY;
 	/** Something must be told at once. */
-	urgent = false;
-	observed: Observed = noObservation();
+	isReportUrgent = false;
+	observations: EndpointObservations = noObservation();
 	private gapSum = 0;
 	private gapCount = 0;
 	private strictestMs = Number.POSITIVE_INFINITY;
@@ -66,14 +66,14 @@
 	}
 
 	/** Unused slots that a request may start in. */
-	get usableIdle(): number {
-		return this.reply?.closed ? 0 : this.idle;
+	get usableIdleSlots(): number {
+		return this.lastReply?.isUnavailable ? 0 : this.idleSlots;
 	}
 
 	/** Share of the endpoint's limit in use, as last heard. */
 	get load(): number {
-		const limit = Math.max(this.reply?.limit ?? 1, 1);
-		return (this.reply?.used ?? 0) / limit + this.runs.size / limit;
+		const limit = Math.max(this.lastReply?.limit ?? 1, 1);
+		return (this.lastReply?.usedSlots ?? 0) / limit + this.runs.size / limit;
 	}
 
 	get runningCount(): number {
@@ -81,16 +81,16 @@
 	}
 
 	get isEmpty(): boolean {
-		return this.runs.size === 0 && this.idle === 0 && this.told.size === 0;
+		return this.runs.size === 0 && this.idleSlots === 0 && this.told.size === 0;
 	}
 
 	/** Whether the owner has been told of a waiting request. */
-	knows(ticket: number): boolean {
+	hasReported(ticket: number): boolean {
 		return this.told.has(ticket);
 	}
 
 	/** Takes in a reply; false when it is of an older term. */
-	takeIn(reply: OwnerReply, now: number): boolean {
+	applyReply(reply: OwnerReply, now: number): boolean {
 		if (reply.epoch < this.epoch) {
 			return false;
 		}
@@ -98,7 +98,7 @@
 			this.epoch = reply.epoch;
 			this.granted = 0;
 		}
-		this.ackedSeq = Math.max(this.ackedSeq, reply.seq);
+		this.ackedSeq = Math.max(this.ackedSeq, reply.reportSeq);
 		for (const grant of reply.grants) {
 			if (grant.id > this.granted) {
 				this.granted = grant.id;
@@ -106,22 +106,22 @@
 				this.changed(now);
 			}
 		}
-		const stale = reply.seq < this.sentSeq;
-		if (!stale && this.idle > reply.keepIdle) {
-			this.idle = reply.keepIdle;
-			this.urgent = true;
+		const stale = reply.reportSeq < this.sentSeq;
+		if (!stale && this.idleSlots > reply.maxIdleSlots) {
+			this.idleSlots = reply.maxIdleSlots;
+			this.isReportUrgent = true;
 		}
-		this.reply = reply;
+		this.lastReply = reply;
 		return true;
 	}
 
-	takeOffers(): Grant[] {
+	takeNewGrants(): Grant[] {
 		const { offers } = this;
 		this.offers = [];
 		return offers;
 	}
 
-	started(req: Request, floor: boolean, now: number): void {
+	recordStart(req: Request, floor: boolean, now: number): void {
 		const cls = rendezvous.hashName(req.cls.name);
 		const customer = rendezvous.hashName(req.customer);
 		this.runs.set(req.ticket, { tier: req.cls.tier, cls, customer, floor });
@@ -129,47 +129,47 @@
 		this.changed(now);
 	}
 
-	ended(ticket: number, slot: Slot, now: number): void {
+	recordEnd(ticket: number, slot: Slot, now: number): void {
 		this.runs.delete(ticket);
 		this.changed(now);
-		if (!slot.floor) {
-			this.keepOrReturn(now);
+		if (!slot.isFloor) {
+			this.keepOrReturnSlot(now);
 		}
 	}
 
 	/** A free slot stays here while nobody waits for it. */
-	keepOrReturn(now: number): void {
+	keepOrReturnSlot(now: number): void {
 		this.changed(now);
-		if (!this.reply || this.reply.contended || this.reply.closed) {
-			this.urgent = true;
+		if (!this.lastReply || this.lastReply.isContended || this.lastReply.isUnavailable) {
+			this.isReportUrgent = true;
 			return;
 		}
-		this.idle++;
+		this.idleSlots++;
 		this.idleUsedAt = now;
 	}
 
 	/** Another owner has heard nothing yet. */
-	unacknowledge(): void {
+	requireReport(): void {
 		if (!this.isEmpty) {
-			this.urgent = true;
+			this.isReportUrgent = true;
 		}
 	}
 
-	dropUnused(): void {
-		this.idle = 0;
+	dropUnusedSlots(): void {
+		this.idleSlots = 0;
 		this.offers = [];
-		this.urgent = true;
+		this.isReportUrgent = true;
 	}
 
 	/**
 	 * What the owner has to know of waiting work. New work is told at once only if the owner knows
 	 * too little of it to give the next slots rightly; the rest rides on the next report.
 	 */
-	noteWanted(want: readonly Ticket[], now: number): void {
+	updateSlotRequests(want: readonly SlotRequest[], now: number): void {
 		this.returnUnused(now);
 		let known = 0;
 		let untold = 0;
-		for (const { ticket, tier, urgent } of want) {
+		for (const { ticket, tier, requestsPreemption: urgent } of want) {
 			const told = this.told.has(ticket);
 			known += told ? 1 : 0;
 			untold += told ? 0 : 1;
@@ -178,7 +178,7 @@
 				(!told && (known < enoughKnown || outranked)) ||
 				(urgent && !this.toldUrgent.has(ticket))
 			) {
-				this.urgent = true;
+				this.isReportUrgent = true;
 			}
 		}
 		const vanished = this.told.size - known;
@@ -188,44 +188,44 @@
 	}
 
 	/** A run was observed; its figures go out with the next report. */
-	noteGap(gapMs: number, targetMs: number, now: number): void {
+	recordInterTokenLatency(gapMs: number, targetMs: number, now: number): void {
 		this.gapSum += gapMs;
 		this.gapCount++;
 		this.strictestMs = Math.min(this.strictestMs, targetMs);
 		this.due(now + laterMs);
 	}
 
-	makeReport(
-		want: Ticket[],
+	buildReport(
+		want: SlotRequest[],
 		backlog: [number, number][],
 		now: number,
 		isPreemptable: (ticket: number) => boolean,
 	): HolderReport {
 		this.sentSeq++;
 		this.sentAt = now;
-		this.dueAt = Number.POSITIVE_INFINITY;
-		this.urgent = false;
+		this.reportDueAt = Number.POSITIVE_INFINITY;
+		this.isReportUrgent = false;
 		this.rememberTold(want);
-		const observed = { ...this.observed, ...this.takeGap() };
-		this.observed = noObservation();
+		const observed = { ...this.observations, ...this.takeGap() };
+		this.observations = noObservation();
 		return {
 			endpoint: this.endpoint,
 			seq: this.sentSeq,
 			epoch: this.epoch,
-			granted: this.granted,
+			lastGrantId: this.granted,
 			running: this.runningSlots(isPreemptable),
-			idle: this.idle + this.offers.length,
-			want,
-			backlog,
-			observed,
-			limit: this.reply?.limit ?? 0,
+			idleSlots: this.idleSlots + this.offers.length,
+			slotRequests: want,
+			waitingByTier: backlog,
+			observations: observed,
+			knownLimit: this.lastReply?.limit ?? 0,
 		};
 	}
 
 	private runningSlots(isPreemptable: (ticket: number) => boolean): RunningSlot[] {
 		const slots: RunningSlot[] = [];
 		for (const [ticket, run] of this.runs) {
-			slots.push({ ticket, ...run, preemptable: isPreemptable(ticket) });
+			slots.push({ ticket, ...run, isPreemptable: isPreemptable(ticket) });
 		}
 		return slots;
 	}
@@ -241,10 +241,10 @@
 		return gap;
 	}
 
-	private rememberTold(want: readonly Ticket[]): void {
+	private rememberTold(want: readonly SlotRequest[]): void {
 		this.told.clear();
 		this.toldUrgent.clear();
-		for (const { ticket, tier, urgent } of want) {
+		for (const { ticket, tier, requestsPreemption: urgent } of want) {
 			this.told.set(ticket, tier);
 			if (urgent) {
 				this.toldUrgent.add(ticket);
@@ -253,8 +253,8 @@
 	}
 
 	private returnUnused(now: number): void {
-		if (this.idle > 0 && now - this.idleUsedAt > idleMs) {
-			this.idle = Math.floor(this.idle / 2);
+		if (this.idleSlots > 0 && now - this.idleUsedAt > idleMs) {
+			this.idleSlots = Math.floor(this.idleSlots / 2);
 			this.idleUsedAt = now;
 			this.changed(now);
 		}
@@ -273,10 +273,10 @@
 	}
 
 	private due(at: number): void {
-		this.dueAt = Math.min(this.dueAt, at);
+		this.reportDueAt = Math.min(this.reportDueAt, at);
 	}
 }
 
-function noObservation(): Observed {
-	return { completions: 0, failures: 0, gapMs: 0, targetMs: 0 };
+function noObservation(): EndpointObservations {
+	return { completions: 0, failures: 0, interTokenMs: 0, interTokenTargetMs: 0 };
 }
--- a/src/core/scheduling/independent-policy.ts
+++ b/src/core/scheduling/independent-policy.ts
@@ -7,7 +7,13 @@
 import type { LoadReport } from '../definitions.js';
 import type { Request } from '../requests/types.js';
 import { avoids } from '../requests/types.js';
-import type { EntryState, RunResult, Slot, SlotPolicy, Start } from './definitions.js';
+import type {
+	RunResult,
+	SchedulingState,
+	Slot,
+	SlotAssignment,
+	SlotPolicy,
+} from './definitions.js';
 
 /** An endpoint that failed is left alone for so long, in milliseconds. */
 const failurePauseMs = 1000;
@@ -22,14 +28,14 @@
 	private readonly uses = new Map<string, EndpointUse>();
 
 	/** Takes in a load report. */
-	reportLoad(endpoint: string, report: LoadReport): void {
+	applyLoadReport(endpoint: string, report: LoadReport): void {
 		this.use(endpoint).report = report;
 	}
 
-	takeStarts(state: EntryState): Start[] {
-		const starts: Start[] = [];
+	assignSlots(state: SchedulingState): SlotAssignment[] {
+		const starts: SlotAssignment[] = [];
 		const limit = state.queue.size;
-		const candidates = state.queue.best(state.now, state.shares, limit, () => true);
+		const candidates = state.queue.selectBest(state.now, state.ordering, limit, () => true);
 		for (const { req } of candidates) {
 			const endpoint = this.leastLoaded(state, req);
 			if (endpoint) {
@@ -42,9 +48,9 @@
 		return starts;
 	}
 
-	observe(): void {}
+	recordInterTokenLatency(): void {}
 
-	release(_req: Request, slot: Slot, result: RunResult, now: number): void {
+	releaseSlot(_req: Request, slot: Slot, result: RunResult, now: number): void {
 		const use = this.use(slot.endpoint);
 		use.own--;
 		if (result.failed) {
@@ -60,7 +66,7 @@
 		return this.use(endpoint).report?.leaving !== true;
 	}
 
-	private leastLoaded(state: EntryState, req: Request): Endpoint | undefined {
+	private leastLoaded(state: SchedulingState, req: Request): Endpoint | undefined {
 		let best: Endpoint | undefined;
 		let bestLoad = Number.POSITIVE_INFINITY;
 		for (const endpoint of state.cfg.eligible(req.target, req.cls.name)) {
--- a/src/core/scheduling/owner-desk.ts
+++ b/src/core/scheduling/owned-ledgers.ts
@@ -7,8 +7,8 @@
 import { OwnerMap } from '../membership/owner-map.js';
 import * as rendezvous from '../membership/rendezvous.js';
 import { eventKinds } from '../timeline/index.js';
-import { floorClasses } from './floors.js';
-import type { LearnerOptions } from './limit-learner.js';
+import type { AdaptiveLimitOptions } from './adaptive-limit.js';
+import { floorClassesByEndpoint } from './floors.js';
 import type { RecordEvent } from './slot-ledger.js';
 import { SlotLedger } from './slot-ledger.js';
 import type { HolderReport, OwnerReply } from './types.js';
@@ -16,22 +16,22 @@
 /** A part that sees less of the fleet than this claims only its share of each endpoint. */
 const majority = 0.5;
 
-export interface OwnerDeskOptions {
+export interface OwnedLedgersOptions {
 	self: string;
-	send: (to: string, reply: OwnerReply) => void;
+	sendReply: (to: string, reply: OwnerReply) => void;
 	/** Names an owner's term; grows with time. */
-	epoch: () => number;
+	newEpoch: () => number;
 	onOwnedChanged?: (owned: readonly Endpoint[]) => void;
-	record: RecordEvent;
+	recordEvent: RecordEvent;
 }
 
-export class OwnerDesk {
+export class OwnedLedgers {
 	private readonly ledgers = new Map<string, SlotLedger>();
 	private readonly owners = new OwnerMap();
 	private cfg?: ConfigurationView;
 	private share = 1;
 
-	constructor(private readonly opts: OwnerDeskOptions) {}
+	constructor(private readonly opts: OwnedLedgersOptions) {}
 
 	ownerOf(endpoint: string): string | undefined {
 		return this.owners.ownerOf(endpoint);
@@ -56,32 +56,32 @@
 	}
 
 	/** A member is gone for good. */
-	forget(member: string): void {
+	removeMember(member: string): void {
 		for (const ledger of this.ledgers.values()) {
-			ledger.forget(member);
+			ledger.removeHolder(member);
 		}
 	}
 
 	/** This process was paused: what its ledgers say is out of date. */
-	drop(): void {
+	clear(): void {
 		this.ledgers.clear();
 	}
 
 	/** An owned endpoint said whether it takes work. */
-	setClosed(endpoint: string, closed: boolean): void {
-		this.ledgers.get(endpoint)?.setClosed(closed);
+	setUnavailable(endpoint: string, closed: boolean): void {
+		this.ledgers.get(endpoint)?.setUnavailable(closed);
 	}
 
-	receive(from: string, report: HolderReport, now: number): void {
-		this.ledgers.get(report.endpoint)?.report(from, report, now);
+	applyReport(from: string, report: HolderReport, now: number): void {
+		this.ledgers.get(report.endpoint)?.applyReport(from, report, now);
 	}
 
 	/** Decides on every owned endpoint and sends what is due. */
-	decide(now: number): void {
+	allocateSlots(now: number): void {
 		for (const ledger of this.ledgers.values()) {
-			ledger.decide(now);
-			for (const { to, reply } of ledger.takeReplies(now)) {
-				this.opts.send(to, reply);
+			ledger.allocateSlots(now);
+			for (const { to, reply } of ledger.takeDueReplies(now)) {
+				this.opts.sendReply(to, reply);
 			}
 		}
 	}
@@ -109,8 +109,8 @@
 		for (const endpoint of owned) {
 			const ledger = this.ledgers.get(endpoint.name) ?? this.makeLedger(endpoint, now);
 			this.ledgers.set(endpoint.name, ledger);
-			ledger.setShare(this.share);
-			ledger.setClosed(endpoint.state !== 'active');
+			ledger.setCapacityShare(this.share);
+			ledger.setUnavailable(endpoint.state !== 'active');
 		}
 	}
 
@@ -126,19 +126,25 @@
 
 	private makeLedger(endpoint: Endpoint, now: number): SlotLedger {
 		const limits = this.limitsOf(endpoint);
-		const { record, epoch } = this.opts;
+		const { recordEvent: record, newEpoch: epoch } = this.opts;
 		record(eventKinds.ownerChanged, { endpoint: endpoint.name, member: this.opts.self });
-		return new SlotLedger({ endpoint: endpoint.name, limits, record, epoch: epoch(), now });
+		return new SlotLedger({
+			endpoint: endpoint.name,
+			limits,
+			recordEvent: record,
+			epoch: epoch(),
+			now,
+		});
 	}
 
-	private limitsOf(endpoint: Endpoint): LearnerOptions {
+	private limitsOf(endpoint: Endpoint): AdaptiveLimitOptions {
 		const learns = this.cfg?.document.policy.learn_limits ?? true;
 		const isEngine = endpoint.kind === 'engine';
-		return { start: endpoint.slots, max: endpoint.max_slots, learns: learns && isEngine };
+		return { initial: endpoint.slots, max: endpoint.max_slots, isAdaptive: learns && isEngine };
 	}
 
 	private assignFloors(cfg: ConfigurationView): void {
-		const floors = floorClasses(cfg);
+		const floors = floorClassesByEndpoint(cfg);
 		for (const [name, ledger] of this.ledgers) {
 			const classes = [...(floors.get(name) ?? [])];
 			ledger.setFloors(classes.map((cls) => rendezvous.hashName(cls)));
--- a/src/core/scheduling/order.ts
+++ b/src/core/scheduling/request-ordering.ts
@@ -6,35 +6,35 @@
  */
 
 /** What the order looks at. */
-export interface Orderable {
+export interface OrderingKey {
 	tier: number;
 	/** The first-token target can no longer be met. */
-	late: boolean;
+	isLate: boolean;
 	/** Running requests of the customer over its weight; fewer go first when shares are unequal. */
-	share: number;
+	customerShare: number;
 	/** Milliseconds until the first token is due; negative when past. */
-	slack: number;
+	slackMs: number;
 }
 
 /** Shares within one step of this size count as equal, so that the deadline decides. */
 const shareStep = 2;
 
 /** Negative when `a` runs before `b`. */
-export function compare(a: Orderable, b: Orderable): number {
+export function compare(a: OrderingKey, b: OrderingKey): number {
 	if (a.tier !== b.tier) {
 		return a.tier - b.tier;
 	}
-	if (a.late !== b.late) {
-		return a.late ? 1 : -1;
+	if (a.isLate !== b.isLate) {
+		return a.isLate ? 1 : -1;
 	}
-	const shares = Math.floor(a.share / shareStep) - Math.floor(b.share / shareStep);
-	return shares === 0 ? a.slack - b.slack : shares;
+	const shares = Math.floor(a.customerShare / shareStep) - Math.floor(b.customerShare / shareStep);
+	return shares === 0 ? a.slackMs - b.slackMs : shares;
 }
 
 /** Position of the item that runs first; -1 for none. */
-export function first<T>(items: readonly T[], orderOf: (item: T) => Orderable): number {
+export function indexOfFirst<T>(items: readonly T[], orderOf: (item: T) => OrderingKey): number {
 	let best = -1;
-	let bestOrder: Orderable | undefined;
+	let bestOrder: OrderingKey | undefined;
 	for (const [at, item] of items.entries()) {
 		const itemOrder = orderOf(item);
 		if (!bestOrder || compare(itemOrder, bestOrder) < 0) {
--- a/src/core/scheduling/request-queue.ts
+++ b/src/core/scheduling/request-queue.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Request } from '../requests/types.js';
-import * as order from './order.js';
+import * as order from './request-ordering.js';
 
 interface Group {
 	/** By `firstTokenBy`, earliest first. */
@@ -18,15 +18,15 @@
 }
 
 /** What the queue has to know of running work to put waiting work in order. */
-export interface Shares {
+export interface OrderingContext {
 	/** Running requests of the customer, over its weight. */
-	of(customer: string): number;
+	customerShare(customer: string): number;
 	/** Estimated milliseconds from a dispatch to the first token. */
-	leadMs(req: Request): number;
+	firstTokenLeadMs(req: Request): number;
 }
 
 /** A waiting request with what decides its place. */
-export interface Candidate extends order.Orderable {
+export interface Candidate extends order.OrderingKey {
 	req: Request;
 }
 
@@ -60,7 +60,7 @@
 	}
 
 	/** Puts back a request that had a place already, whatever the bounds. */
-	readd(req: Request): void {
+	requeue(req: Request): void {
 		this.insert(req);
 	}
 
@@ -87,9 +87,9 @@
 	}
 
 	/** Best waiting requests that pass `accepts`, in order; at most `perGroup` of each group. */
-	best(
+	selectBest(
 		now: number,
-		shares: Shares,
+		shares: OrderingContext,
 		perGroup: number,
 		accepts: (head: Request) => boolean,
 	): Candidate[] {
@@ -104,7 +104,7 @@
 	}
 
 	/** Waiting requests by tier, of those whose group passes `accepts`. */
-	backlog(accepts: (head: Request) => boolean): Map<number, number> {
+	countByTier(accepts: (head: Request) => boolean): Map<number, number> {
 		const byTier = new Map<number, number>();
 		for (const group of this.groups.values()) {
 			const head = group.items[0];
@@ -119,18 +119,24 @@
 	private collect(
 		group: Group,
 		now: number,
-		shares: Shares,
+		shares: OrderingContext,
 		perGroup: number,
 		found: Candidate[],
 	): void {
-		const leadMs = shares.leadMs(group.items[0] as Request);
+		const leadMs = shares.firstTokenLeadMs(group.items[0] as Request);
 		const start = firstDueFrom(group.items, now + leadMs) % group.items.length;
 		for (let taken = 0; taken < Math.min(perGroup, group.items.length); taken++) {
 			const req = group.items[(start + taken) % group.items.length];
 			if (req) {
 				const slack = req.firstTokenBy - now;
-				const share = shares.of(req.customer) + taken / req.weight;
-				found.push({ req, tier: req.cls.tier, late: slack < leadMs, share, slack });
+				const share = shares.customerShare(req.customer) + taken / req.weight;
+				found.push({
+					req,
+					tier: req.cls.tier,
+					isLate: slack < leadMs,
+					customerShare: share,
+					slackMs: slack,
+				});
 			}
 		}
 	}
--- a/src/core/scheduling/ledger-holder.ts
+++ b/src/core/scheduling/slot-holder.ts
@@ -2,40 +2,40 @@
  * One entry as an endpoint's owner knows it.
  * @module
  */
-import type { Grant, HolderReport, NameHash, RunningSlot, Ticket } from './types.js';
+import type { Grant, HolderReport, NameHash, RunningSlot, SlotRequest } from './types.js';
 
 /** A grant that its entry has not confirmed after so long is taken back, in milliseconds. */
 const grantLostMs = 3000;
 
 interface PendingGrant extends Grant {
-	ticket: Ticket;
+	ticket: SlotRequest;
 	at: number;
 }
 
 /** A request that waits at an entry. */
-export interface Waiting {
-	holder: LedgerHolder;
-	ticket: Ticket;
+export interface WaitingRequest {
+	holder: SlotHolder;
+	slotRequest: SlotRequest;
 	/** Owner's time at which the first token is due. */
-	dueAt: number;
+	firstTokenDueAt: number;
 	/** Owner's time at which it began to wait. */
-	since: number;
+	waitingSince: number;
 }
 
-export class LedgerHolder {
+export class SlotHolder {
 	/** Last report taken in. */
-	seq = 0;
+	lastReportSeq = 0;
 	running: RunningSlot[] = [];
-	waiting: Waiting[] = [];
-	backlog: [tier: number, count: number][] = [];
+	waiting: WaitingRequest[] = [];
+	waitingByTier: [tier: number, count: number][] = [];
 	/** Unused slots that it holds. */
-	idle = 0;
+	idleSlots = 0;
 	/** Unused slots that it may keep. */
-	keepIdle = Number.MAX_SAFE_INTEGER;
+	maxIdleSlots = Number.MAX_SAFE_INTEGER;
 	/** Runs that it is asked to cut off, by ticket. */
-	readonly preempt = new Set<number>();
+	readonly preemptTickets = new Set<number>();
 	/** When something must be said to it at the latest. */
-	dueAt = 0;
+	replyDueAt = 0;
 	private pending: PendingGrant[] = [];
 	private granted = 0;
 	private nextGrant = 1;
@@ -43,53 +43,59 @@
 	constructor(readonly id: string) {}
 
 	/** Grants that it has not confirmed. */
-	get grants(): readonly PendingGrant[] {
+	get pendingGrants(): readonly PendingGrant[] {
 		return this.pending;
 	}
 
 	/** Slots of the limit that it uses, holds, or has been granted. */
-	get used(): number {
-		const running = this.running.filter((slot) => !slot.floor).length;
-		const pending = this.pending.filter((grant) => grant.floor === undefined).length;
-		return this.idle + running + pending;
+	get usedSlots(): number {
+		const running = this.running.filter((slot) => !slot.isFloor).length;
+		const pending = this.pending.filter((grant) => grant.floorClass === undefined).length;
+		return this.idleSlots + running + pending;
 	}
 
 	/** Takes in its state. */
-	takeReport(report: HolderReport, epoch: number, now: number): void {
-		this.seq = report.seq;
+	applyReport(report: HolderReport, epoch: number, now: number): void {
+		this.lastReportSeq = report.seq;
 		if (report.epoch === epoch) {
-			this.confirm(report.granted);
+			this.confirm(report.lastGrantId);
 		}
 		this.running = report.running;
-		this.idle = report.idle;
-		this.backlog = report.backlog;
+		this.idleSlots = report.idleSlots;
+		this.waitingByTier = report.waitingByTier;
 		this.forgetEndedPreempts();
 		const promised = new Set(this.pending.map((grant) => grant.ticket.ticket));
-		this.waiting = report.want
+		this.waiting = report.slotRequests
 			.filter((ticket) => !promised.has(ticket.ticket))
 			.map((ticket) => ({
 				holder: this,
 				ticket,
-				dueAt: now + ticket.slack,
-				since: now - ticket.waited,
+				dueAt: now + ticket.slackMs,
+				since: now - ticket.waitedMs,
 			}));
 	}
 
 	/** Gives a slot for a waiting request; `floor` names the class for one outside the limit. */
-	grant(waiting: Waiting, now: number, floor?: NameHash): void {
-		const { ticket } = waiting;
-		this.pending.push({ id: this.nextGrant++, tier: ticket.tier, floor, ticket, at: now });
+	grant(waiting: WaitingRequest, now: number, floor?: NameHash): void {
+		const { slotRequest: ticket } = waiting;
+		this.pending.push({
+			id: this.nextGrant++,
+			tier: ticket.tier,
+			floorClass: floor,
+			ticket,
+			at: now,
+		});
 		this.waiting = this.waiting.filter((other) => other !== waiting);
-		this.dueAt = 0;
+		this.replyDueAt = 0;
 	}
 
 	/** Grants of another term are void. */
 	dropGrants(): void {
 		this.pending = [];
-		this.dueAt = 0;
+		this.replyDueAt = 0;
 	}
 
-	dropLostGrants(now: number): void {
+	expireGrants(now: number): void {
 		if (this.pending.some((grant) => now - grant.at >= grantLostMs)) {
 			this.pending = this.pending.filter((grant) => now - grant.at < grantLostMs);
 		}
@@ -97,8 +103,8 @@
 
 	/** Whether it runs, or will, the minimum of a class. */
 	servesFloor(cls: NameHash): boolean {
-		const running = this.running.some((slot) => slot.floor && slot.cls === cls);
-		return running || this.pending.some((grant) => grant.floor === cls);
+		const running = this.running.some((slot) => slot.isFloor && slot.classHash === cls);
+		return running || this.pending.some((grant) => grant.floorClass === cls);
 	}
 
 	private confirm(granted: number): void {
@@ -110,9 +116,9 @@
 
 	private forgetEndedPreempts(): void {
 		const running = new Set(this.running.map((slot) => slot.ticket));
-		for (const ticket of this.preempt) {
+		for (const ticket of this.preemptTickets) {
 			if (!running.has(ticket)) {
-				this.preempt.delete(ticket);
+				this.preemptTickets.delete(ticket);
 			}
 		}
 	}
--- a/src/core/scheduling/slot-ledger.ts
+++ b/src/core/scheduling/slot-ledger.ts
@@ -7,12 +7,12 @@
 
 import type { EventFields, EventKind } from '../timeline/index.js';
 import { eventKinds } from '../timeline/index.js';
-import type { Waiting } from './ledger-holder.js';
-import { LedgerHolder } from './ledger-holder.js';
-import * as search from './ledger-search.js';
-import type { LearnerOptions } from './limit-learner.js';
-import { LimitLearner } from './limit-learner.js';
-import * as order from './order.js';
+import type { AdaptiveLimitOptions } from './adaptive-limit.js';
+import { AdaptiveLimit } from './adaptive-limit.js';
+import * as search from './ledger-queries.js';
+import * as order from './request-ordering.js';
+import type { WaitingRequest } from './slot-holder.js';
+import { SlotHolder } from './slot-holder.js';
 import type { HolderReport, NameHash, OwnerReply } from './types.js';
 
 /** A report that changes nothing is acknowledged within this time, in milliseconds. */
@@ -36,17 +36,17 @@
 /** What the ledger needs to know of the endpoint. */
 export interface LedgerOptions {
 	endpoint: string;
-	limits: LearnerOptions;
+	limits: AdaptiveLimitOptions;
 	/** Takes in events for the time line. */
-	record: RecordEvent;
+	recordEvent: RecordEvent;
 	/** Names the owner's term. */
 	epoch: number;
 	now: number;
 }
 
 export class SlotLedger {
-	private readonly holders = new Map<string, LedgerHolder>();
-	private readonly learner: LimitLearner;
+	private readonly holders = new Map<string, SlotHolder>();
+	private readonly learner: AdaptiveLimit;
 	private epoch: number;
 	private readonly grantFrom: number;
 	private inherited = false;
@@ -66,11 +66,11 @@
 		// Until it has heard from the entries, an owner cannot know that nobody waits.
 		this.contendedUntil = this.grantFrom + contentionMs;
 		this.rateSince = opts.now;
-		this.learner = new LimitLearner(opts.limits);
+		this.learner = new AdaptiveLimit(opts.limits);
 	}
 
 	/** Takes in a changed configuration of the endpoint. */
-	configure(limits: LearnerOptions): void {
+	configure(limits: AdaptiveLimitOptions): void {
 		this.learner.configure(limits);
 		this.touchAll();
 	}
@@ -81,12 +81,12 @@
 	}
 
 	/** Share of the endpoint that this owner may claim; less than 1 when it may be cut off. */
-	setShare(share: number): void {
+	setCapacityShare(share: number): void {
 		this.share = share;
 	}
 
 	/** The endpoint takes no new work. */
-	setClosed(closed: boolean): void {
+	setUnavailable(closed: boolean): void {
 		if (closed !== this.closed) {
 			this.closed = closed;
 			const reason = closed ? 'takes no work' : 'takes work again';
@@ -101,44 +101,44 @@
 	}
 
 	/** Slots of the limit that are in use, held unused or on their way. */
-	used(): number {
+	usedSlots(): number {
 		let used = 0;
 		for (const holder of this.holders.values()) {
-			used += holder.used;
+			used += holder.usedSlots;
 		}
 		return used;
 	}
 
 	/** Takes in one entry's state. */
-	report(from: string, report: HolderReport, now: number): void {
+	applyReport(from: string, report: HolderReport, now: number): void {
 		const holder = this.holder(from);
-		holder.dueAt = Math.min(holder.dueAt, now + acknowledgeMs);
-		if (report.seq <= holder.seq) {
+		holder.replyDueAt = Math.min(holder.replyDueAt, now + acknowledgeMs);
+		if (report.seq <= holder.lastReportSeq) {
 			return;
 		}
 		if (report.epoch > this.epoch) {
 			this.epoch = report.epoch + 1;
 			this.forgetGrants();
 		}
-		if (!this.inherited && report.limit > 0 && report.epoch !== this.epoch) {
+		if (!this.inherited && report.knownLimit > 0 && report.epoch !== this.epoch) {
 			this.inherited = true;
-			this.learner.inherit(report.limit);
+			this.learner.inherit(report.knownLimit);
 		}
-		holder.takeReport(report, this.epoch, now);
-		this.completions += report.observed.completions;
-		this.learner.observe(report.observed, now);
+		holder.applyReport(report, this.epoch, now);
+		this.completions += report.observations.completions;
+		this.learner.observe(report.observations, now);
 	}
 
 	/** An entry is gone, and its requests with it. */
-	forget(id: string): void {
+	removeHolder(id: string): void {
 		this.holders.delete(id);
 	}
 
 	/** Decides who gets what; entries to be told are marked. */
-	decide(now: number): void {
+	allocateSlots(now: number): void {
 		this.countRate(now);
 		this.dropLostGrants(now);
-		if (this.learner.decide(this.used(), now)) {
+		if (this.learner.update(this.usedSlots(), now)) {
 			this.record(eventKinds.limitChanged, { value: this.learner.limit(now) });
 			this.touchAll();
 		}
@@ -153,29 +153,29 @@
 	}
 
 	/** Replies that are due, by entry. */
-	takeReplies(now: number): { to: string; reply: OwnerReply }[] {
+	takeDueReplies(now: number): { to: string; reply: OwnerReply }[] {
 		const replies: { to: string; reply: OwnerReply }[] = [];
 		for (const holder of this.holders.values()) {
-			if (now >= holder.dueAt) {
-				holder.dueAt = Number.POSITIVE_INFINITY;
+			if (now >= holder.replyDueAt) {
+				holder.replyDueAt = Number.POSITIVE_INFINITY;
 				replies.push({ to: holder.id, reply: this.reply(holder, now) });
 			}
 		}
 		return replies;
 	}
 
-	private grantFree(waiting: Waiting[], now: number): void {
-		let free = this.limit(now) - this.used();
+	private grantFree(waiting: WaitingRequest[], now: number): void {
+		let free = this.limit(now) - this.usedSlots();
 		if (free <= 0 || waiting.length === 0) {
 			return;
 		}
-		const shares = search.runningByCustomer(this.holders.values());
+		const shares = search.countRunningByCustomer(this.holders.values());
 		while (free > 0 && waiting.length > 0) {
-			const at = order.first(waiting, (item) => search.orderOf(item, shares, now));
+			const at = order.indexOfFirst(waiting, (item) => search.orderingKeyOf(item, shares, now));
 			const [next] = waiting.splice(at, 1);
 			if (next) {
 				this.grant(next, now);
-				const { customer } = next.ticket;
+				const { customerHash: customer } = next.slotRequest;
 				shares.set(customer, (shares.get(customer) ?? 0) + 1);
 			}
 			free--;
@@ -183,7 +183,7 @@
 	}
 
 	/** While requests wait, unused slots are called in and slots that end come back at once. */
-	private updateContention(waiting: readonly Waiting[], now: number): void {
+	private updateContention(waiting: readonly WaitingRequest[], now: number): void {
 		const before = this.isContended(now);
 		if (waiting.length > 0) {
 			this.contendedUntil = now + contentionMs;
@@ -192,16 +192,16 @@
 			this.touchAll();
 		}
 		let needed = waiting.length;
-		const over = this.used() - this.limit(now);
+		const over = this.usedSlots() - this.limit(now);
 		needed = Math.max(needed, over);
 		for (const holder of this.holders.values()) {
-			const recall = Math.min(holder.idle, Math.max(needed, 0));
-			const keep = holder.idle - recall;
+			const recall = Math.min(holder.idleSlots, Math.max(needed, 0));
+			const keep = holder.idleSlots - recall;
 			needed -= recall;
-			if (recall > 0 && keep !== holder.keepIdle) {
-				holder.dueAt = 0;
+			if (recall > 0 && keep !== holder.maxIdleSlots) {
+				holder.replyDueAt = 0;
 			}
-			holder.keepIdle = recall > 0 ? keep : Number.MAX_SAFE_INTEGER;
+			holder.maxIdleSlots = recall > 0 ? keep : Number.MAX_SAFE_INTEGER;
 		}
 	}
 
@@ -211,8 +211,8 @@
 			return;
 		}
 		for (const cls of this.floors) {
-			const first = search.oldestOf(this.holders.values(), cls);
-			if (first && now - first.since >= floorAfterMs && !this.floorBusy(cls)) {
+			const first = search.findLongestWaiting(this.holders.values(), cls);
+			if (first && now - first.waitingSince >= floorAfterMs && !this.floorBusy(cls)) {
 				this.grant(first, now, cls);
 			}
 		}
@@ -223,37 +223,37 @@
 	}
 
 	/** Cuts off the lowest work for an urgent request of a higher tier. */
-	private preemptFor(waiting: readonly Waiting[], now: number): void {
-		const urgent = search.mostUrgent(waiting);
+	private preemptFor(waiting: readonly WaitingRequest[], now: number): void {
+		const urgent = search.findPreemptionRequest(waiting);
 		if (!urgent || now - this.lastPreemptAt < preemptEveryMs) {
 			return;
 		}
-		const victim = search.lowestRunning(this.holders.values());
-		if (victim && victim.slot.tier > urgent.ticket.tier) {
+		const victim = search.findLowestPreemptable(this.holders.values());
+		if (victim && victim.slot.tier > urgent.slotRequest.tier) {
 			this.lastPreemptAt = now;
-			victim.holder.preempt.add(victim.slot.ticket);
-			victim.holder.dueAt = 0;
+			victim.holder.preemptTickets.add(victim.slot.ticket);
+			victim.holder.replyDueAt = 0;
 		}
 	}
 
-	private grant(waiting: Waiting, now: number, floor?: NameHash): void {
-		const { holder, ticket } = waiting;
+	private grant(waiting: WaitingRequest, now: number, floor?: NameHash): void {
+		const { holder, slotRequest: ticket } = waiting;
 		holder.grant(waiting, now, floor);
 		const isFloor = floor !== undefined;
 		this.record(eventKinds.grant, { member: holder.id, tier: ticket.tier, floor: isFloor });
 	}
 
 	private record(kind: EventKind, fields: EventFields): void {
-		this.opts.record(kind, { endpoint: this.opts.endpoint, ...fields });
+		this.opts.recordEvent(kind, { endpoint: this.opts.endpoint, ...fields });
 	}
 
 	private dropLostGrants(now: number): void {
 		for (const holder of this.holders.values()) {
-			holder.dropLostGrants(now);
+			holder.expireGrants(now);
 		}
 	}
 
-	private allWaiting(): Waiting[] {
+	private allWaiting(): WaitingRequest[] {
 		return [...this.holders.values()].flatMap((holder) => holder.waiting);
 	}
 
@@ -280,32 +280,32 @@
 
 	private touchAll(): void {
 		for (const holder of this.holders.values()) {
-			holder.dueAt = 0;
+			holder.replyDueAt = 0;
 		}
 	}
 
-	private reply(holder: LedgerHolder, now: number): OwnerReply {
+	private reply(holder: SlotHolder, now: number): OwnerReply {
 		return {
 			endpoint: this.opts.endpoint,
 			epoch: this.epoch,
-			seq: holder.seq,
-			grants: holder.grants.map(({ id, tier, floor }) => ({ id, tier, floor })),
-			keepIdle: holder.keepIdle,
-			contended: this.isContended(now),
-			preempt: [...holder.preempt],
+			reportSeq: holder.lastReportSeq,
+			grants: holder.pendingGrants.map(({ id, tier, floorClass: floor }) => ({ id, tier, floor })),
+			maxIdleSlots: holder.maxIdleSlots,
+			isContended: this.isContended(now),
+			preemptTickets: [...holder.preemptTickets],
 			limit: this.learner.limit(now),
-			used: this.used(),
-			rate: this.rate,
-			ahead: search.aheadByTier(this.holders.values()),
-			lowest: search.lowestRunning(this.holders.values())?.slot.tier ?? 0,
-			closed: this.closed,
+			usedSlots: this.usedSlots(),
+			completionsPerS: this.rate,
+			waitingByTier: search.countWaitingByTier(this.holders.values()),
+			lowestPreemptableTier: search.findLowestPreemptable(this.holders.values())?.slot.tier ?? 0,
+			isUnavailable: this.closed,
 		};
 	}
 
-	private holder(id: string): LedgerHolder {
+	private holder(id: string): SlotHolder {
 		let holder = this.holders.get(id);
 		if (!holder) {
-			holder = new LedgerHolder(id);
+			holder = new SlotHolder(id);
 			this.holders.set(id, holder);
 		}
 		return holder;
--- a/src/core/scheduling/types.ts
+++ b/src/core/scheduling/types.ts
@@ -11,40 +11,40 @@
 export type NameHash = number;
 
 /** A waiting request, as an owner sees it. */
-export interface Ticket {
+export interface SlotRequest {
 	/** Number of the request on its daemon. */
 	ticket: number;
 	tier: number;
-	cls: NameHash;
-	customer: NameHash;
+	classHash: NameHash;
+	customerHash: NameHash;
 	/** Milliseconds until the first token is due, at sending. */
-	slack: number;
+	slackMs: number;
 	/** The first-token target can no longer be met. */
-	late: boolean;
+	isLate: boolean;
 	/** Milliseconds that it waits already. */
-	waited: number;
+	waitedMs: number;
 	/** Asks that lower work be preempted on this endpoint. */
-	urgent: boolean;
+	requestsPreemption: boolean;
 }
 
 /** A request that runs on the endpoint. */
 export interface RunningSlot {
 	ticket: number;
 	tier: number;
-	cls: NameHash;
-	customer: NameHash;
-	floor: boolean;
-	preemptable: boolean;
+	classHash: NameHash;
+	customerHash: NameHash;
+	isFloor: boolean;
+	isPreemptable: boolean;
 }
 
 /** What an entry saw of an endpoint since its last report. */
-export interface Observed {
+export interface EndpointObservations {
 	completions: number;
 	failures: number;
 	/** Mean time between tokens; 0 when no token was seen. */
-	gapMs: number;
+	interTokenMs: number;
 	/** Strictest target between tokens among the requests seen, in milliseconds. */
-	targetMs: number;
+	interTokenTargetMs: number;
 }
 
 /** State of one entry on one endpoint, sent to the endpoint's owner. */
@@ -55,17 +55,17 @@
 	/** Owner's epoch that the entry knows; 0 for none. */
 	epoch: number;
 	/** Last grant that the entry has taken in. */
-	granted: number;
+	lastGrantId: number;
 	running: RunningSlot[];
 	/** Slots held unused. */
-	idle: number;
+	idleSlots: number;
 	/** The best waiting requests, and the first of each class. */
-	want: Ticket[];
+	slotRequests: SlotRequest[];
 	/** Waiting requests by tier. */
-	backlog: [tier: number, count: number][];
-	observed: Observed;
+	waitingByTier: [tier: number, count: number][];
+	observations: EndpointObservations;
 	/** Limit as last heard, for an owner that is new. */
-	limit: number;
+	knownLimit: number;
 }
 
 /** One slot given. */
@@ -75,7 +75,7 @@
 	/** Work of this or a higher tier may use it. */
 	tier: number;
 	/** Class whose minimum this slot serves; it is outside the limit. */
-	floor?: NameHash;
+	floorClass?: NameHash;
 }
 
 /** State of an endpoint's owner towards one entry. */
@@ -84,24 +84,24 @@
 	/** Names the owner's term; a higher one wins. */
 	epoch: number;
 	/** Last report taken in. */
-	seq: number;
+	reportSeq: number;
 	/** Every grant that the entry has not confirmed. */
 	grants: Grant[];
 	/** The entry may keep this many unused slots. */
-	keepIdle: number;
+	maxIdleSlots: number;
 	/** Slots that end are given back at once. */
-	contended: boolean;
+	isContended: boolean;
 	/** Requests to cut off, by ticket. */
-	preempt: number[];
+	preemptTickets: number[];
 	limit: number;
 	/** Slots in use of the limit. */
-	used: number;
+	usedSlots: number;
 	/** Requests ended a second, over all entries. */
-	rate: number;
+	completionsPerS: number;
 	/** Waiting requests by tier, over all entries. */
-	ahead: [tier: number, count: number][];
+	waitingByTier: [tier: number, count: number][];
 	/** Lowest tier that runs and may be preempted; 0 for none. */
-	lowest: number;
+	lowestPreemptableTier: number;
 	/** The endpoint takes no work. */
-	closed: boolean;
+	isUnavailable: boolean;
 }
--- a/src/core/time/suspension-meter.ts
+++ b/src/core/time/suspension-meter.ts
@@ -23,7 +23,7 @@
 	 * @param steadyMs as the steady clock has it
 	 * @param wallMs as the time of day has it
 	 */
-	look(steadyMs: number, wallMs: number): void {
+	sample(steadyMs: number, wallMs: number): void {
 		const difference = wallMs - steadyMs;
 		const gained = difference - (this.lastDifference ?? difference);
 		this.lastDifference = difference;
--- a/src/daemon/daemon-control.ts
+++ b/src/daemon/daemon-control.ts
@@ -49,15 +49,15 @@
 		const { fleet, configuration, settings } = this.daemon;
 		const endpoints = configuration?.document.endpoints ?? [];
 		return endpoints.map((endpoint) => {
-			const holding = fleet?.policy.holding(endpoint.name);
+			const holding = fleet?.policy.heldSlots(endpoint.name);
 			return {
 				endpoint: endpoint.name,
 				vm: settings.vm.id,
 				owner: fleet?.desk.ownerOf(endpoint.name) ?? '',
-				state: holding?.reply?.closed ? 'closed' : endpoint.state,
-				limit: holding?.reply?.limit ?? 0,
+				state: holding?.lastReply?.isUnavailable ? 'closed' : endpoint.state,
+				limit: holding?.lastReply?.limit ?? 0,
 				running: holding?.runningCount ?? 0,
-				idle: holding?.idle ?? 0,
+				idle: holding?.idleSlots ?? 0,
 			};
 		});
 	}
@@ -72,7 +72,7 @@
 			throw new errors.UserError(errors.data.NotFound, [`endpoint ${name}`]);
 		}
 		const { url, checks_fencing: checksFencing } = endpoint;
-		return this.daemon.orders.give({ endpoint: name, url, checksFencing, kind, argument });
+		return this.daemon.orders.send({ endpoint: name, url, checksFencing, kind, argument });
 	}
 
 	cutPeers(peers: readonly string[]): void {
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -11,7 +11,7 @@
 import type { LoadReport, Log } from '../core/definitions.js';
 import * as errors from '../core/errors/index.js';
 import * as rendezvous from '../core/membership/rendezvous.js';
-import { OrderGiver } from '../core/orders/order-giver.js';
+import { OrderSender } from '../core/orders/order-sender.js';
 import { Router } from '../core/requests/router.js';
 import { IndependentPolicy } from '../core/scheduling/independent-policy.js';
 import type { Settings } from '../core/settings/index.js';
@@ -47,7 +47,7 @@
 	readonly router: Router;
 	readonly follower: ConfigurationFollower;
 	readonly writer: ConfigurationWriter;
-	readonly orders: OrderGiver;
+	readonly orders: OrderSender;
 	readonly kv: HttpKvStore;
 	private readonly metrics: StatsdMetrics;
 	private readonly endpoints = new UndiciEndpointClient();
@@ -83,7 +83,7 @@
 		this.router = this.makeRouter();
 		this.follower = this.makeFollower();
 		this.writer = new ConfigurationWriter({ ...this, sleep });
-		this.orders = new OrderGiver({
+		this.orders = new OrderSender({
 			kv: this.kv,
 			clock: this.clock,
 			random: this.random,
@@ -214,9 +214,9 @@
 	}
 
 	private loadReported(endpoint: string, report: LoadReport): void {
-		this.independent.reportLoad(endpoint, report);
+		this.independent.applyLoadReport(endpoint, report);
 		const drained = this.view?.endpointNamed(endpoint)?.state !== 'active';
-		this.fleetNode?.desk.setClosed(endpoint, report.leaving || drained);
+		this.fleetNode?.desk.setUnavailable(endpoint, report.leaving || drained);
 	}
 
 	/** A few daemons of each failure domain watch; the others hear of changes from peers. */
--- a/src/daemon/fleet-node.ts
+++ b/src/daemon/fleet-node.ts
@@ -9,9 +9,9 @@
 import { memberStates } from '../core/membership/types.js';
 import type { PeerBatch, PeerMessage, PeerTransport } from '../core/peers.js';
 import type { Router } from '../core/requests/router.js';
-import { escalateMs } from '../core/scheduling/first-asked.js';
 import { GrantedPolicy } from '../core/scheduling/granted-policy.js';
-import { OwnerDesk } from '../core/scheduling/owner-desk.js';
+import { OwnedLedgers } from '../core/scheduling/owned-ledgers.js';
+import { escalationDelayMs } from '../core/scheduling/report-targets.js';
 import type { Timeline } from '../core/timeline/index.js';
 import { eventKinds } from '../core/timeline/index.js';
 
@@ -56,7 +56,7 @@
 
 export class FleetNode {
 	readonly membership: Membership;
-	readonly desk: OwnerDesk;
+	readonly desk: OwnedLedgers;
 	readonly policy: GrantedPolicy;
 	private readonly timers: NodeJS.Timeout[] = [];
 	private lastTick: number;
@@ -79,17 +79,17 @@
 			send: ({ to, message }) => opts.transport.send(to, { type: 'membership', body: message }),
 			onChange: (member) => this.memberChanged(member),
 		});
-		this.desk = new OwnerDesk({
+		this.desk = new OwnedLedgers({
 			self: self.id,
-			send: (to, body) => this.send(to, { type: 'reply', body }),
-			epoch: () => shortTime(clock.wall(), epochStepMs),
+			sendReply: (to, body) => this.send(to, { type: 'reply', body }),
+			newEpoch: () => shortTime(clock.wall(), epochStepMs),
 			onOwnedChanged: (owned) => opts.onOwnedChanged(owned),
-			record: (kind, fields) => opts.timeline.record(kind, fields),
+			recordEvent: (kind, fields) => opts.timeline.record(kind, fields),
 		});
 		this.policy = new GrantedPolicy({
 			self: self.id,
 			fleetSize: () => this.membership.liveMembers().length,
-			send: (owner, body) => this.send(owner, { type: 'report', body }),
+			sendReport: (owner, body) => this.send(owner, { type: 'report', body }),
 			ownerOf: (endpoint) => this.desk.ownerOf(endpoint),
 			preempt: (ticket) => opts.router.preempt(ticket),
 			isPreemptable: (ticket) => opts.router.isPreemptable(ticket),
@@ -119,7 +119,7 @@
 		this.version = cfg.version;
 		this.membership.setConfigurationVersion(cfg.version);
 		this.desk.configure(cfg, this.opts.clock.monotonic());
-		this.policy.ownersChanged();
+		this.policy.refreshOwners();
 	}
 
 	/** Requests started or ended: tell the owners what they must know. */
@@ -147,10 +147,10 @@
 				this.opts.onNewerVersion(message.body.from);
 			}
 		} else if (message.type === 'report') {
-			this.desk.receive(from, message.body, now);
+			this.desk.applyReport(from, message.body, now);
 			this.decideSoon();
 		} else {
-			this.policy.receive(from, message.body, now);
+			this.policy.applyReply(from, message.body, now);
 		}
 	}
 
@@ -179,7 +179,7 @@
 	private decide(): void {
 		this.deskDue = false;
 		this.decidedAt = this.opts.clock.monotonic();
-		this.desk.decide(this.decidedAt);
+		this.desk.allocateSlots(this.decidedAt);
 	}
 
 	private tick(): void {
@@ -197,7 +197,7 @@
 		this.laterTimer ??= setTimeout(() => {
 			this.laterTimer = undefined;
 			this.report();
-		}, escalateMs);
+		}, escalationDelayMs);
 	}
 
 	private report(): void {
@@ -205,7 +205,7 @@
 		this.reportedAt = this.opts.clock.monotonic();
 		const state = this.opts.router.state();
 		if (state && state.cfg.document.policy.name === 'granted') {
-			const again = this.policy.report(state);
+			const again = this.policy.sendDueReports(state);
 			if (again) {
 				this.reportLater();
 			}
@@ -220,7 +220,7 @@
 		this.opts.router.holdUntil(now + refreshMs);
 		this.policy.dropGrants();
 		this.membership.handleProcessResumed();
-		this.desk.drop();
+		this.desk.clear();
 		this.appliedMembers = '';
 		this.applyMembers();
 		void this.readVmList();
@@ -233,7 +233,7 @@
 		});
 		if (member.state === memberStates.dead) {
 			this.opts.log.warn('member.dead', { member: member.id });
-			this.desk.forget(member.id);
+			this.desk.removeMember(member.id);
 		}
 		this.applyMembers();
 	}
@@ -248,7 +248,7 @@
 		this.appliedMembers = key;
 		const now = this.opts.clock.monotonic();
 		this.desk.setMembers(live, share, now);
-		this.policy.ownersChanged();
+		this.policy.refreshOwners();
 	}
 
 	private async readVmList(): Promise<void> {
--- a/src/infra/peers/codec.ts
+++ b/src/infra/peers/codec.ts
@@ -11,7 +11,7 @@
 	HolderReport,
 	OwnerReply,
 	RunningSlot,
-	Ticket,
+	SlotRequest,
 } from '../../core/scheduling/types.js';
 
 /** Bytes of a signature. */
@@ -130,19 +130,24 @@
 }
 
 function encodeReport(report: HolderReport): Wire {
-	const { completions, failures, gapMs, targetMs } = report.observed;
+	const {
+		completions,
+		failures,
+		interTokenMs: gapMs,
+		interTokenTargetMs: targetMs,
+	} = report.observations;
 	return [
 		wireTypes.report,
 		report.endpoint,
 		report.seq,
 		report.epoch,
-		report.granted,
+		report.lastGrantId,
 		report.running.map(encodeRunning),
-		report.idle,
-		report.want.map(encodeTicket),
-		report.backlog,
+		report.idleSlots,
+		report.slotRequests.map(encodeTicket),
+		report.waitingByTier,
 		[completions, failures, Math.round(gapMs * gapScale), targetMs],
-		report.limit,
+		report.knownLimit,
 	];
 }
 
@@ -165,33 +170,45 @@
 		endpoint,
 		seq,
 		epoch,
-		granted,
+		lastGrantId: granted,
 		running: running.map(decodeRunning),
-		idle,
-		want: want.map(decodeTicket),
-		backlog,
-		observed: { completions, failures, gapMs: gap / gapScale, targetMs },
-		limit,
+		idleSlots: idle,
+		slotRequests: want.map(decodeTicket),
+		waitingByTier: backlog,
+		observations: {
+			completions,
+			failures,
+			interTokenMs: gap / gapScale,
+			interTokenTargetMs: targetMs,
+		},
+		knownLimit: limit,
 	};
 }
 
 function encodeRunning(slot: RunningSlot): Wire {
-	const flags = (slot.floor ? 1 : 0) | (slot.preemptable ? 2 : 0);
-	return [slot.ticket, slot.tier, slot.cls, slot.customer, flags];
+	const flags = (slot.isFloor ? 1 : 0) | (slot.isPreemptable ? 2 : 0);
+	return [slot.ticket, slot.tier, slot.classHash, slot.customerHash, flags];
 }
 
 function decodeRunning(wire: Wire): RunningSlot {
 	const [ticket, tier, cls, customer, flags] = wire as [number, number, number, number, number];
-	return { ticket, tier, cls, customer, floor: (flags & 1) !== 0, preemptable: (flags & 2) !== 0 };
+	return {
+		ticket,
+		tier,
+		classHash: cls,
+		customerHash: customer,
+		isFloor: (flags & 1) !== 0,
+		isPreemptable: (flags & 2) !== 0,
+	};
 }
 
-function encodeTicket(ticket: Ticket): Wire {
-	const flags = (ticket.late ? 1 : 0) | (ticket.urgent ? 2 : 0);
-	const { tier, cls, customer, slack, waited } = ticket;
+function encodeTicket(ticket: SlotRequest): Wire {
+	const flags = (ticket.isLate ? 1 : 0) | (ticket.requestsPreemption ? 2 : 0);
+	const { tier, classHash: cls, customerHash: customer, slackMs: slack, waitedMs: waited } = ticket;
 	return [ticket.ticket, tier, cls, customer, slack, waited, flags];
 }
 
-function decodeTicket(wire: Wire): Ticket {
+function decodeTicket(wire: Wire): SlotRequest {
 	const [ticket, tier, cls, customer, slack, waited, flags] = wire as [
 		number,
 		number,
@@ -203,24 +220,33 @@
 	];
 	const late = (flags & 1) !== 0;
 	const urgent = (flags & 2) !== 0;
-	return { ticket, tier, cls, customer, slack, waited, late, urgent };
+	return {
+		ticket,
+		tier,
+		classHash: cls,
+		customerHash: customer,
+		slackMs: slack,
+		waitedMs: waited,
+		isLate: late,
+		requestsPreemption: urgent,
+	};
 }
 
 function encodeReply(reply: OwnerReply): Wire {
-	const flags = (reply.contended ? 1 : 0) | (reply.closed ? 2 : 0);
+	const flags = (reply.isContended ? 1 : 0) | (reply.isUnavailable ? 2 : 0);
 	return [
 		wireTypes.reply,
 		reply.endpoint,
 		reply.epoch,
-		reply.seq,
+		reply.reportSeq,
 		reply.grants.map(encodeGrant),
-		reply.keepIdle === Number.MAX_SAFE_INTEGER ? keepAll : reply.keepIdle,
-		reply.preempt,
+		reply.maxIdleSlots === Number.MAX_SAFE_INTEGER ? keepAll : reply.maxIdleSlots,
+		reply.preemptTickets,
 		reply.limit,
-		reply.used,
-		Math.round(reply.rate * 100),
-		reply.ahead,
-		reply.lowest,
+		reply.usedSlots,
+		Math.round(reply.completionsPerS * 100),
+		reply.waitingByTier,
+		reply.lowestPreemptableTier,
 		flags,
 	];
 }
@@ -245,25 +271,27 @@
 	return {
 		endpoint,
 		epoch,
-		seq,
+		reportSeq: seq,
 		grants: grants.map(decodeGrant),
-		keepIdle: keep === keepAll ? Number.MAX_SAFE_INTEGER : keep,
-		preempt,
+		maxIdleSlots: keep === keepAll ? Number.MAX_SAFE_INTEGER : keep,
+		preemptTickets: preempt,
 		limit,
-		used,
-		rate: rate / 100,
-		ahead,
-		lowest,
-		contended: (flags & 1) !== 0,
-		closed: (flags & 2) !== 0,
+		usedSlots: used,
+		completionsPerS: rate / 100,
+		waitingByTier: ahead,
+		lowestPreemptableTier: lowest,
+		isContended: (flags & 1) !== 0,
+		isUnavailable: (flags & 2) !== 0,
 	};
 }
 
 function encodeGrant(grant: Grant): Wire {
-	return grant.floor === undefined ? [grant.id, grant.tier] : [grant.id, grant.tier, grant.floor];
+	return grant.floorClass === undefined
+		? [grant.id, grant.tier]
+		: [grant.id, grant.tier, grant.floorClass];
 }
 
 function decodeGrant(wire: Wire): Grant {
 	const [id, tier, floor] = wire as [number, number, number | undefined];
-	return { id, tier, floor };
+	return { id, tier, floorClass: floor };
 }
--- a/src/infra/system-clock.ts
+++ b/src/infra/system-clock.ts
@@ -20,7 +20,7 @@
 
 	sinceBoot(): number {
 		const steadyMs = performance.now();
-		this.suspension.look(steadyMs, Date.now());
+		this.suspension.sample(steadyMs, Date.now());
 		return steadyMs + this.suspension.totalMs;
 	}
 
--- a/test/fuzz/fleet-model.ts
+++ b/test/fuzz/fleet-model.ts
@@ -19,7 +19,7 @@
 import type { Request } from '../../src/core/requests/types.js';
 import { GrantedPolicy } from '../../src/core/scheduling/granted-policy.js';
 import { IndependentPolicy } from '../../src/core/scheduling/independent-policy.js';
-import { OwnerDesk } from '../../src/core/scheduling/owner-desk.js';
+import { OwnedLedgers } from '../../src/core/scheduling/owned-ledgers.js';
 import type { HolderReport, OwnerReply } from '../../src/core/scheduling/types.js';
 import { HybridClock, mergeTimelines, Timeline } from '../../src/core/timeline/index.js';
 import { answerTokens, FakeClock, FakeEndpoints, FakeKv, noMetrics } from './fakes.js';
@@ -84,7 +84,7 @@
 interface Node {
 	id: string;
 	router: Router;
-	desk: OwnerDesk;
+	desk: OwnedLedgers;
 	granted: GrantedPolicy;
 	timeline: Timeline;
 	alive: boolean;
@@ -220,7 +220,7 @@
 			}
 		}
 		for (const other of this.nodes) {
-			other.desk.forget(node.id);
+			other.desk.removeMember(node.id);
 		}
 		this.applyMembers();
 	}
@@ -233,7 +233,7 @@
 			node.frozen = true;
 			this.froze.add(node.id);
 			for (const other of this.nodes) {
-				other.desk.forget(node.id);
+				other.desk.removeMember(node.id);
 			}
 			this.applyMembers();
 		}
@@ -244,7 +244,7 @@
 			if (node.frozen) {
 				node.frozen = false;
 				node.granted.dropGrants();
-				node.desk.drop();
+				node.desk.clear();
 			}
 		}
 		this.applyMembers();
@@ -350,10 +350,10 @@
 		for (const callback of due) {
 			callback();
 		}
-		node.desk.decide(this.clock.now);
+		node.desk.allocateSlots(this.clock.now);
 		const state = node.router.state();
 		if (state && this.policy === 'granted') {
-			node.granted.report(state);
+			node.granted.sendDueReports(state);
 		}
 	}
 
@@ -367,10 +367,10 @@
 				continue;
 			}
 			if (report) {
-				node.desk.receive(sender.id, report, this.clock.now);
+				node.desk.applyReport(sender.id, report, this.clock.now);
 			}
 			if (reply) {
-				node.granted.receive(sender.id, reply, this.clock.now);
+				node.granted.applyReply(sender.id, reply, this.clock.now);
 			}
 		}
 	}
@@ -389,7 +389,7 @@
 		for (const node of this.nodes) {
 			if (!node.frozen) {
 				node.desk.setMembers(seen, 1, this.clock.now);
-				node.granted.ownersChanged();
+				node.granted.refreshOwners();
 			}
 		}
 	}
@@ -418,17 +418,17 @@
 			soon: (callback) => void node.due.push(callback),
 		});
 		const indexOf = (name: string) => this.nodes.findIndex((other) => other.id === name);
-		node.desk = new OwnerDesk({
+		node.desk = new OwnedLedgers({
 			self: id,
-			send: (to, reply) =>
+			sendReply: (to, reply) =>
 				this.packets.push({ from: index, to: indexOf(to), reply: structuredClone(reply) }),
-			epoch: () => this.clock.now,
-			record: () => {},
+			newEpoch: () => this.clock.now,
+			recordEvent: () => {},
 		});
 		node.granted = new GrantedPolicy({
 			self: id,
 			fleetSize: () => this.nodes.length,
-			send: (to, report) =>
+			sendReport: (to, report) =>
 				this.packets.push({ from: index, to: indexOf(to), report: structuredClone(report) }),
 			ownerOf: (endpoint) => node.desk.ownerOf(endpoint),
 			preempt: (ticket) => node.router.preempt(ticket),
--- a/test/steps/decisions.steps.ts
+++ b/test/steps/decisions.steps.ts
@@ -5,47 +5,69 @@
 import * as assert from 'node:assert/strict';
 import * as cucumber from '@cucumber/cucumber';
 import { hashName } from '../../src/core/membership/rendezvous.js';
-import { LimitLearner } from '../../src/core/scheduling/limit-learner.js';
+import { AdaptiveLimit } from '../../src/core/scheduling/adaptive-limit.js';
 import { SlotLedger } from '../../src/core/scheduling/slot-ledger.js';
 import type {
+	EndpointObservations,
 	HolderReport,
-	Observed,
 	OwnerReply,
 	RunningSlot,
-	Ticket,
+	SlotRequest,
 } from '../../src/core/scheduling/types.js';
 import type { FleetWorld } from './world.js';
 
 /** A new owner listens first; decisions are asked for after that. */
 const afterLearningMs = 1000;
-const quiet: Observed = { completions: 0, failures: 0, gapMs: 0, targetMs: 0 };
+const quiet: EndpointObservations = {
+	completions: 0,
+	failures: 0,
+	interTokenMs: 0,
+	interTokenTargetMs: 0,
+};
 
 function newLedger(slots: number): SlotLedger {
 	const limits = { start: slots, max: slots, learns: false };
-	return new SlotLedger({ endpoint: 'e1', limits, record: () => {}, epoch: 1, now: 0 });
+	return new SlotLedger({ endpoint: 'e1', limits, recordEvent: () => {}, epoch: 1, now: 0 });
 }
 
-function ticket(number: number, part: Partial<Ticket>): Ticket {
+function ticket(number: number, part: Partial<SlotRequest>): SlotRequest {
 	const rest = { slack: 1000, late: false, waited: 0, urgent: false };
-	return { ticket: number, tier: 2, cls: 1, customer: 1, ...rest, ...part };
+	return { ticket: number, tier: 2, classHash: 1, customerHash: 1, ...rest, ...part };
 }
 
 function running(number: number, part: Partial<RunningSlot>): RunningSlot {
-	return { ticket: number, tier: 2, cls: 1, customer: 1, floor: false, preemptable: true, ...part };
+	return {
+		ticket: number,
+		tier: 2,
+		classHash: 1,
+		customerHash: 1,
+		isFloor: false,
+		isPreemptable: true,
+		...part,
+	};
 }
 
-function report(want: Ticket[], runs: RunningSlot[] = []): HolderReport {
+function report(want: SlotRequest[], runs: RunningSlot[] = []): HolderReport {
 	const rest = { backlog: [], observed: quiet, limit: 0 };
-	return { endpoint: 'e1', seq: 1, epoch: 0, granted: 0, running: runs, idle: 0, want, ...rest };
+	return {
+		endpoint: 'e1',
+		seq: 1,
+		epoch: 0,
+		lastGrantId: 0,
+		running: runs,
+		idleSlots: 0,
+		slotRequests: want,
+		...rest,
+	};
 }
 
 function decide(world: FleetWorld, reports: Record<string, HolderReport>): void {
 	const ledger = world.seen.get('ledger') as SlotLedger;
 	for (const [entry, body] of Object.entries(reports)) {
-		ledger.report(entry, body, afterLearningMs);
+		ledger.applyReport(entry, body, afterLearningMs);
 	}
-	ledger.decide(afterLearningMs);
-	const replies = ledger.takeReplies(afterLearningMs).map(({ to, reply }) => [to, reply]);
+	ledger.allocateSlots(afterLearningMs);
+	const replies = ledger.takeDueReplies(afterLearningMs).map(({ to, reply }) => [to, reply]);
 	world.seen.set('replies', Object.fromEntries(replies));
 }
 
@@ -81,7 +103,9 @@
 		tier: number,
 	) {
 		const wants = (many: number, customer: string) =>
-			Array.from({ length: many }, (_, at) => ticket(at, { tier, customer: hashName(customer) }));
+			Array.from({ length: many }, (_, at) =>
+				ticket(at, { tier, customerHash: hashName(customer) }),
+			);
 		this.seen.set('entries', { [customerA]: a, [customerB]: b });
 		decide(this, { [a]: report(wants(manyA, customerA)), [b]: report(wants(manyB, customerB)) });
 	},
@@ -109,7 +133,7 @@
 		dueB: number,
 	) {
 		const wants = (many: number, tier: number, slack: number) =>
-			Array.from({ length: many }, (_, at) => ticket(at, { tier, slack }));
+			Array.from({ length: many }, (_, at) => ticket(at, { tier, slackMs: slack }));
 		decide(this, {
 			[a]: report(wants(manyA, tierA, dueA)),
 			[b]: report(wants(manyB, tierB, dueB)),
@@ -135,8 +159,10 @@
 		waited: number,
 		low: string,
 	) {
-		const runs = Array.from({ length: many }, (_, at) => running(at, { cls: hashName(high) }));
-		const want = [ticket(1, { tier: 5, cls: hashName(low), waited })];
+		const runs = Array.from({ length: many }, (_, at) =>
+			running(at, { classHash: hashName(high) }),
+		);
+		const want = [ticket(1, { tier: 5, classHash: hashName(low), waitedMs: waited })];
 		decide(this, { [a]: report([], runs), [b]: report(want) });
 	},
 );
@@ -144,7 +170,7 @@
 cucumber.Then(
 	'entry {string} has {int} grant outside the limit',
 	function (this: FleetWorld, entry: string, grants: number) {
-		const outside = replyTo(this, entry).grants.filter((grant) => grant.floor !== undefined);
+		const outside = replyTo(this, entry).grants.filter((grant) => grant.floorClass !== undefined);
 		assert.equal(outside.length, grants);
 	},
 );
@@ -153,8 +179,8 @@
 	'entry {string} runs {string} in tier {int} and as a minimum, and entry {string} is urgent in tier {int}',
 	function (this: FleetWorld, a: string, cls: string, low: number, b: string, high: number) {
 		const kind = { tier: low, cls: hashName(cls) };
-		const runs = [running(1, kind), running(2, kind), running(3, { ...kind, floor: true })];
-		const want = [ticket(1, { tier: high, urgent: true })];
+		const runs = [running(1, kind), running(2, kind), running(3, { ...kind, isFloor: true })];
+		const want = [ticket(1, { tier: high, requestsPreemption: true })];
 		decide(this, { [a]: report([], runs), [b]: report(want) });
 	},
 );
@@ -162,14 +188,14 @@
 cucumber.Then(
 	'entry {string} is asked to cut off {int} request that is not a minimum',
 	function (this: FleetWorld, entry: string, many: number) {
-		const { preempt } = replyTo(this, entry);
+		const { preemptTickets: preempt } = replyTo(this, entry);
 		assert.equal(preempt.length, many);
 		assert.ok(!preempt.includes(3));
 	},
 );
 
 interface Endpoint {
-	learner: LimitLearner;
+	learner: AdaptiveLimit;
 	now: number;
 	targetMs: number;
 }
@@ -181,7 +207,7 @@
 cucumber.Given(
 	'an endpoint of {int} slots with a target of {int} ms',
 	function (this: FleetWorld, slots: number, targetMs: number) {
-		const learner = new LimitLearner({ start: slots, max: slots, learns: true });
+		const learner = new AdaptiveLimit({ initial: slots, max: slots, isAdaptive: true });
 		this.seen.set('endpoint', { learner, now: 1000, targetMs });
 	},
 );
@@ -193,8 +219,8 @@
 		for (let step = 0; step < seconds * 4; step++) {
 			endpoint.now += 250;
 			const { learner, now, targetMs } = endpoint;
-			learner.observe({ ...quiet, gapMs, targetMs }, now);
-			learner.decide(learner.limit(now), now);
+			learner.observe({ ...quiet, interTokenMs: gapMs, interTokenTargetMs: targetMs }, now);
+			learner.update(learner.limit(now), now);
 		}
 	},
 );
--- a/test/steps/orders.steps.ts
+++ b/test/steps/orders.steps.ts
@@ -5,7 +5,7 @@
 import * as assert from 'node:assert/strict';
 import * as cucumber from '@cucumber/cucumber';
 import type { EndpointOrder } from '../../src/core/definitions.js';
-import { OrderGiver, orderLeaseMs } from '../../src/core/orders/order-giver.js';
+import { OrderSender, orderLeaseMs } from '../../src/core/orders/order-sender.js';
 import { SystemRandom } from '../../src/infra/system-random.js';
 import { FakeClock, FakeKv } from '../fuzz/fakes.js';
 import type { FleetWorld } from './world.js';
@@ -20,7 +20,7 @@
 };
 
 interface Desk {
-	giver: OrderGiver;
+	giver: OrderSender;
 	sent: { order: EndpointOrder; at: number }[];
 }
 
@@ -43,7 +43,7 @@
 	const sleep = async (ms: number) => {
 		clock.now += ms;
 	};
-	const giver = new OrderGiver({
+	const giver = new OrderSender({
 		kv,
 		clock,
 		random: new SystemRandom(),
@@ -60,11 +60,11 @@
 	async function (this: FleetWorld) {
 		const clock = new FakeClock();
 		const kv = new FakeKv();
-		await assert.rejects(desk(clock, kv, true).giver.give(request), /vanished/);
+		await assert.rejects(desk(clock, kv, true).giver.send(request), /vanished/);
 		kv.drop('slategauge/orders/endpoint/e1');
 		const next = desk(clock, kv, false);
 		const from = clock.now;
-		await next.giver.give(request);
+		await next.giver.send(request);
 		this.seen.set('waited', (next.sent[0]?.at ?? 0) - from);
 	},
 );
@@ -80,7 +80,7 @@
 	'a holder is paused for {int} ms between its lease and its order',
 	async function (this: FleetWorld, pauseMs: number) {
 		const paused = desk(new FakeClock(), new FakeKv(), false, pauseMs);
-		this.seen.set('error', await paused.giver.give(request).catch((err: unknown) => err));
+		this.seen.set('error', await paused.giver.send(request).catch((err: unknown) => err));
 		this.seen.set('sent', paused.sent);
 	},
 );
--- a/test/steps/suspension.steps.ts
+++ b/test/steps/suspension.steps.ts
@@ -46,7 +46,7 @@
 	'a VM whose time of day was {int} ms ahead of its steady clock',
 	function (this: FleetWorld, aheadMs: number) {
 		const meter = new SuspensionMeter();
-		meter.look(0, aheadMs);
+		meter.sample(0, aheadMs);
 		this.seen.set('clocks', { steadyMs: 0, aheadMs, meter });
 	},
 );
@@ -57,7 +57,7 @@
 		const clocks = seen<TwoClocks>(this, 'clocks');
 		clocks.steadyMs += 10;
 		clocks.aheadMs += ms;
-		clocks.meter.look(clocks.steadyMs, clocks.steadyMs + clocks.aheadMs);
+		clocks.meter.sample(clocks.steadyMs, clocks.steadyMs + clocks.aheadMs);
 	},
 );
 
