--- a/src/core/claims/claims.ts
+++ b/src/core/claims/claims.ts
@@ -1,24 +1,23 @@
 /**
- * Permanent claims: a keyed request that must run at most once is claimed by compare-and-swap
- * before it is dispatched. A claim is never taken over.
+ * Permanent claims for requests with an idempotency key: a request is claimed by compare-and-swap
+ * before dispatch, so that it runs at most once. Claims never pass to another attempt.
  * @module
  */
 import type { KvStore } from '../definitions.js';
 import { KvError } from '../definitions.js';
 
-/** Outcomes of an attempt to claim. */
 export const claimResults = {
-	/** This attempt may dispatch. */
+	/** This attempt owns the claim and may dispatch. */
 	taken: 'taken',
 	/** Another attempt holds the claim. */
 	held: 'held',
-	/** It is not known whether the claim was written; this attempt must not dispatch. */
+	/** Whether the claim was written is unknown; this attempt must not dispatch. */
 	unavailable: 'unavailable',
 } as const;
 
-/** Who holds a claim. */
+/** Stored value of a claim. */
 export interface ClaimRecord {
-	/** Attempt that wrote it. */
+	/** Attempt that holds the claim. */
 	attempt: string;
 	vm: string;
 }
@@ -28,15 +27,14 @@
 	| { result: typeof claimResults.held; holder: ClaimRecord }
 	| { result: typeof claimResults.unavailable };
 
-/** Takes claims. */
 export interface ClaimStore {
 	claim(customer: string, key: string, record: ClaimRecord): Promise<ClaimResult>;
 }
 
-/** Times a lost reply is read back. */
-const readBackTries = 3;
+/** Maximum number of reads after a write without a reply. */
+const maxReadBackAttempts = 3;
 
-/** One write a claim. */
+/** Stores claims in the key-value store. */
 export class KvClaimStore implements ClaimStore {
 	constructor(private readonly kv: KvStore) {}
 
@@ -47,7 +45,7 @@
 			if (swap.swapped) {
 				return { result: claimResults.taken };
 			}
-			return settle(swap.current?.value, record);
+			return interpretRecord(swap.current?.value, record);
 		} catch (err) {
 			if (!(err instanceof KvError)) {
 				throw err;
@@ -56,12 +54,12 @@
 		}
 	}
 
-	/** The write may have taken effect though its reply was lost. */
+	/** Reads the claim after an error, since the write may have taken effect. */
 	private async readBack(path: string, record: ClaimRecord): Promise<ClaimResult> {
-		for (let attempt = 0; attempt < readBackTries; attempt++) {
+		for (let attempt = 0; attempt < maxReadBackAttempts; attempt++) {
 			try {
 				const entry = await this.kv.get(path);
-				return settle(entry?.value, record);
+				return interpretRecord(entry?.value, record);
 			} catch (err) {
 				if (!(err instanceof KvError)) {
 					throw err;
@@ -73,10 +71,10 @@
 }
 
 /**
- * An absent claim after a lost write is "unavailable": the write may still be on its way, so it
- * is neither taken nor free.
+ * Compares the stored claim with this attempt's record. A missing claim is "unavailable", since the
+ * write may still take effect.
  */
-function settle(value: string | undefined, record: ClaimRecord): ClaimResult {
+function interpretRecord(value: string | undefined, record: ClaimRecord): ClaimResult {
 	if (value === undefined) {
 		return { result: claimResults.unavailable };
 	}
--- a/src/core/orders/order-sender.ts
+++ b/src/core/orders/order-sender.ts
@@ -1,7 +1,7 @@
 /**
- * Gives orders to endpoints under a lease with a fencing token. The lease is taken for one order
- * only. An endpoint that checks tokens refuses a holder that was paused and overtaken; for one that
- * does not, the holder stops well before its lease ends, and the next waits out the lease.
+ * Sends orders to endpoints, each under its own lease with a fencing token. For endpoints that don't
+ * check tokens, a holder sends well before its lease ends, and the next holder waits for the lease
+ * of an unfinished order to expire.
  * @module
  */
 import type {
@@ -16,17 +16,21 @@
 import { KvError, weightAnswers } from '../definitions.js';
 import * as errors from '../errors/index.js';
 
-/** Life of an order's lease, in milliseconds. */
+/** Duration of an order's lease. */
 export const orderLeaseMs = 5000;
-/** An order is not sent later than this after its lease was asked for, in milliseconds. */
-const sendBeforeMs = 2000;
-/** Longest time for the endpoint's answer, in milliseconds. */
-const answerMs = 1500;
-/** Beyond the lease, for clocks that run apart, in milliseconds. */
-const marginMs = 1000;
-/** Orders that read the weight store; one at a time over the fleet keeps to its rate. */
-const loadOrders = new Set<EndpointOrder['kind']>(['load-model', 'load-adapter', 'set-version']);
-const weightsKey = 'slategauge/orders/weights';
+/** Maximum time between the request or renewal of a lease and the sending of the order. */
+const maxSendDelayMs = 2000;
+/** Timeout of the endpoint's answer. */
+const answerTimeoutMs = 1500;
+/** Wait beyond the lease duration, for clocks that differ in speed. */
+const clockMarginMs = 1000;
+/** Orders that load from the weight store; the fleet sends one at a time to keep its rate limit. */
+const weightLoadingKinds = new Set<EndpointOrder['kind']>([
+	'load-model',
+	'load-adapter',
+	'set-version',
+]);
+const weightsLeaseKey = 'slategauge/orders/weights';
 
 export interface OrderSenderOptions {
 	kv: KvStore;
@@ -34,13 +38,13 @@
 	random: Random;
 	log: Log;
 	endpoints: Pick<EndpointClient, 'order'>;
-	/** Without one, load orders are given unasked. */
+	/** If absent, orders are sent without a check that the weights exist. */
 	weights?: WeightStore;
 	vm: string;
 	sleep: (ms: number) => Promise<void>;
 }
 
-/** An order as an operator asks for it. */
+/** An order as requested by an operator. */
 export interface OrderRequest {
 	endpoint: string;
 	url: string;
@@ -49,44 +53,44 @@
 	argument: string;
 }
 
-/** What stands under an order's key. */
-interface Holder {
+/** Stored value of an order's lease key. */
+interface LeaseRecord {
 	operation: string;
 	vm: string;
 }
 
-interface Held {
+interface HeldLease {
 	key: string;
 	leaseId: string;
-	/** Revision of the holder's record: grows with each holder. */
+	/** Fencing token: the revision of the record, which increases with each holder. */
 	token: number;
 }
 
 export class OrderSender {
 	constructor(private readonly opts: OrderSenderOptions) {}
 
-	/** Resolves with the fencing token when the endpoint has taken the order. */
+	/** Resolves with the fencing token once the endpoint has accepted the order. */
 	async send(request: OrderRequest): Promise<number> {
-		const askedAt = this.opts.clock.sinceBoot();
-		const held: Held[] = [];
+		const requestedAt = this.opts.clock.sinceBoot();
+		const leases: HeldLease[] = [];
 		try {
-			if (loadOrders.has(request.kind)) {
-				held.push(await this.acquire(weightsKey));
+			if (weightLoadingKinds.has(request.kind)) {
+				leases.push(await this.acquire(weightsLeaseKey));
 				await this.checkWeights(request.argument);
 			}
-			const own = await this.acquire(`slategauge/orders/endpoint/${request.endpoint}`);
-			held.push(own);
+			const lease = await this.acquire(`slategauge/orders/endpoint/${request.endpoint}`);
+			leases.push(lease);
 			return request.checksFencing
-				? await this.sendUnderLease(request, own, askedAt)
-				: await this.sendUnchecked(request, own, askedAt);
+				? await this.sendUnderLease(request, lease, requestedAt)
+				: await this.sendUnchecked(request, lease, requestedAt);
 		} catch (err) {
 			throw err instanceof KvError ? new errors.UserError(errors.data.PlatformUnavailable) : err;
 		} finally {
-			await this.release(held);
+			await this.release(leases);
 		}
 	}
 
-	/** Asked under the fleet's one lease for loads, so that the store's rate is kept. */
+	/** Refuses weights that are missing; runs under the fleet-wide lease, so queries don't overlap. */
 	private async checkWeights(name: string): Promise<void> {
 		const answer = await this.opts.weights?.find(name);
 		if (answer === weightAnswers.absent) {
@@ -97,61 +101,65 @@
 		}
 	}
 
-	/** The endpoint cannot tell holders apart: one that was cut off may still be sending. */
-	private async sendUnchecked(request: OrderRequest, own: Held, askedAt: number): Promise<number> {
+	/** Without a token check by the endpoint, an earlier holder's order may still be in flight. */
+	private async sendUnchecked(
+		request: OrderRequest,
+		lease: HeldLease,
+		requestedAt: number,
+	): Promise<number> {
 		const doneKey = `slategauge/orders/done/${request.endpoint}`;
-		const before = await this.opts.kv.get(doneKey);
-		let freshSince = askedAt;
-		if (before && before.value !== 'done') {
-			await this.waitOut(own);
-			freshSince = this.opts.clock.sinceBoot();
-			await this.renew(own);
+		const marker = await this.opts.kv.get(doneKey);
+		let leaseStartedAt = requestedAt;
+		if (marker && marker.value !== 'done') {
+			await this.waitForLeaseExpiry(lease);
+			leaseStartedAt = this.opts.clock.sinceBoot();
+			await this.renew(lease);
 		}
-		const open = await this.opts.kv.swap(doneKey, before?.rev ?? 0, own.leaseId);
-		if (!open.swapped) {
+		const started = await this.opts.kv.swap(doneKey, marker?.rev ?? 0, lease.leaseId);
+		if (!started.swapped) {
 			throw new errors.UserError(errors.data.OrderInProgress, [request.endpoint, 'another VM']);
 		}
-		const token = await this.sendUnderLease(request, own, freshSince);
-		await this.opts.kv.swap(doneKey, open.rev, 'done');
+		const token = await this.sendUnderLease(request, lease, leaseStartedAt);
+		await this.opts.kv.swap(doneKey, started.rev, 'done');
 		return token;
 	}
 
-	private async waitOut(own: Held): Promise<void> {
-		const until = this.opts.clock.sinceBoot() + orderLeaseMs + marginMs;
-		while (this.opts.clock.sinceBoot() < until) {
-			await this.renew(own);
-			await this.opts.sleep(sendBeforeMs / 2);
+	private async waitForLeaseExpiry(lease: HeldLease): Promise<void> {
+		const expiresAt = this.opts.clock.sinceBoot() + orderLeaseMs + clockMarginMs;
+		while (this.opts.clock.sinceBoot() < expiresAt) {
+			await this.renew(lease);
+			await this.opts.sleep(maxSendDelayMs / 2);
 		}
 	}
 
-	private async renew(own: Held): Promise<void> {
-		if (!(await this.opts.kv.renewLease(own.leaseId))) {
+	private async renew(lease: HeldLease): Promise<void> {
+		if (!(await this.opts.kv.renewLease(lease.leaseId))) {
 			throw new errors.UserError(errors.data.OrderLeaseLost);
 		}
 	}
 
 	private async sendUnderLease(
 		request: OrderRequest,
-		own: Held,
-		freshSince: number,
+		lease: HeldLease,
+		leaseStartedAt: number,
 	): Promise<number> {
 		const { kind, argument } = request;
-		if (this.opts.clock.sinceBoot() - freshSince > sendBeforeMs) {
+		if (this.opts.clock.sinceBoot() - leaseStartedAt > maxSendDelayMs) {
 			throw new errors.UserError(errors.data.OrderLeaseLost);
 		}
-		const order = { kind, argument, fencingToken: own.token };
-		const status = await this.opts.endpoints.order(request.url, order, answerMs);
+		const order = { kind, argument, fencingToken: lease.token };
+		const status = await this.opts.endpoints.order(request.url, order, answerTimeoutMs);
 		if (status !== 200) {
 			throw new errors.UserError(errors.data.OrderRefused, [request.endpoint, String(status)]);
 		}
-		this.opts.log.info('order.given', { endpoint: request.endpoint, kind, token: own.token });
-		return own.token;
+		this.opts.log.info('order.given', { endpoint: request.endpoint, kind, token: lease.token });
+		return lease.token;
 	}
 
-	private async acquire(key: string): Promise<Held> {
+	private async acquire(key: string): Promise<HeldLease> {
 		const { kv, random, vm } = this.opts;
 		const leaseId = await kv.grantLease(orderLeaseMs);
-		const record: Holder = { operation: random.hex(12), vm };
+		const record: LeaseRecord = { operation: random.hex(12), vm };
 		try {
 			const swap = await kv.swap(key, 0, JSON.stringify(record), leaseId);
 			if (swap.swapped) {
@@ -162,13 +170,17 @@
 				throw err;
 			}
 		}
-		return this.settle(key, leaseId, record);
+		return this.resolveHolder(key, leaseId, record);
 	}
 
-	/** Another holds the key, or the reply was lost. */
-	private async settle(key: string, leaseId: string, record: Holder): Promise<Held> {
+	/** Determines the holder of the key after a failed swap or a lost reply. */
+	private async resolveHolder(
+		key: string,
+		leaseId: string,
+		record: LeaseRecord,
+	): Promise<HeldLease> {
 		const entry = await this.opts.kv.get(key);
-		const holder = entry ? (JSON.parse(entry.value) as Holder) : undefined;
+		const holder = entry ? (JSON.parse(entry.value) as LeaseRecord) : undefined;
 		if (entry && holder?.operation === record.operation) {
 			return { key, leaseId, token: entry.rev };
 		}
@@ -176,9 +188,9 @@
 		throw new errors.UserError(errors.data.OrderInProgress, [key, holder?.vm ?? 'another VM']);
 	}
 
-	/** A lease that cannot be ended lapses by itself. */
-	private async release(held: readonly Held[]): Promise<void> {
-		for (const { leaseId } of held) {
+	/** Ends the leases; one that can't be ended expires by itself. */
+	private async release(leases: readonly HeldLease[]): Promise<void> {
+		for (const { leaseId } of leases) {
 			await this.opts.kv.endLease(leaseId).catch(() => {});
 		}
 	}
--- a/src/core/scheduling/adaptive-limit.ts
+++ b/src/core/scheduling/adaptive-limit.ts
@@ -1,131 +1,129 @@
 /**
- * Learns how many requests an endpoint may run at once from what entries see: time between
- * tokens against its target, and errors. Load reports play no part, since they lag.
+ * Adaptive concurrency limit of one endpoint with a circuit breaker. Uses observed inter-token
+ * latency and failures; load reports lag too far behind.
  * @module
  */
 
 import type { EndpointObservations } from './types.js';
 
-/** Time between two decisions, in milliseconds. */
-const windowMs = 500;
-/** Strain (time between tokens over the strictest target) above which slots are taken away. */
-const highStrain = 1.0;
-/** Strain below which slots are added, while all are in use. */
-const lowStrain = 0.92;
-/** Largest share taken away at once. */
-const maxCut = 0.4;
-/** A strict class that was not seen for so long no longer decides, in milliseconds. */
-const targetKeptMs = 3000;
-/** Failures in a row that close an endpoint. */
-const closingFailures = 3;
-/** Bounds of the time that an endpoint stays closed, in milliseconds. */
-const minClosedMs = 500;
-const maxClosedMs = 5000;
+/** Minimum time between two adjustments. */
+const adjustmentWindowMs = 500;
+/** Ratio of inter-token latency to its strictest target above which the limit decreases. */
+const decreaseThreshold = 1.0;
+/** Ratio below which the limit increases if all slots are in use. */
+const increaseThreshold = 0.92;
+/** Maximum share of the limit removed by one adjustment. */
+const maxDecreaseShare = 0.4;
+/** Time without a sample after which the strictest target expires. */
+const targetExpiryMs = 3000;
+/** Consecutive failures that open the circuit breaker. */
+const failuresToOpen = 3;
+/** Bounds of the time that the circuit breaker stays open. */
+const minOpenMs = 500;
+const maxOpenMs = 5000;
 
 export interface AdaptiveLimitOptions {
 	initial: number;
 	max: number;
-	/** Without it the limit stays, errors apart. */
+	/** Whether latency adjusts the limit; the circuit breaker works either way. */
 	isAdaptive: boolean;
 }
 
-/** Decides on one endpoint's limit. */
 export class AdaptiveLimit {
 	private value: number;
-	private gapSum = 0;
-	/** Strictest target of late, and when it was seen last, in milliseconds. */
-	private targetMs = Number.POSITIVE_INFINITY;
+	private interTokenSumMs = 0;
+	private strictestTargetMs = Number.POSITIVE_INFINITY;
 	private targetSeenAt = 0;
 	private samples = 0;
-	private failures = 0;
-	private windowEnd = 0;
-	private closedUntil = 0;
-	private closedMs = minClosedMs;
-	private probing = false;
+	private consecutiveFailures = 0;
+	private windowEndsAt = 0;
+	private openUntil = 0;
+	private openMs = minOpenMs;
+	private isHalfOpen = false;
 
 	constructor(private opts: AdaptiveLimitOptions) {
 		this.value = opts.initial;
 	}
 
-	/** Takes in a changed configuration; what was learned stays, within the new bounds. */
+	/** Applies a changed configuration; an adaptive limit keeps its value within the new maximum. */
 	configure(opts: AdaptiveLimitOptions): void {
 		this.opts = opts;
 		this.value = opts.isAdaptive ? Math.min(this.value, opts.max) : opts.initial;
 	}
 
-	/** Requests that may run at once; 0 while the endpoint is closed, 1 while it is tried again. */
+	/** Maximum concurrent requests; 0 while the circuit breaker is open, 1 while it is half-open. */
 	limit(now: number): number {
-		if (now < this.closedUntil) {
+		if (now < this.openUntil) {
 			return 0;
 		}
-		return this.probing ? 1 : Math.floor(this.value);
+		return this.isHalfOpen ? 1 : Math.floor(this.value);
 	}
 
-	/** Takes over what the owner before had learned. */
+	/** Continues with the limit of the previous owner. */
 	inherit(limit: number): void {
 		if (limit > 0 && this.opts.isAdaptive) {
 			this.value = Math.min(limit, this.opts.max);
 		}
 	}
 
-	/** Takes in what one entry saw. */
-	observe(observed: EndpointObservations, now: number): void {
-		const { interTokenMs: gapMs, interTokenTargetMs: targetMs, completions, failures } = observed;
-		if (gapMs > 0) {
-			this.gapSum += gapMs;
+	/** Records the observations of one slot holder. */
+	observe(observations: EndpointObservations, now: number): void {
+		const { interTokenMs, interTokenTargetMs, completions, failures } = observations;
+		if (interTokenMs > 0) {
+			this.interTokenSumMs += interTokenMs;
 			this.samples++;
-			this.noteTarget(targetMs, now);
+			this.recordTarget(interTokenTargetMs, now);
 		}
 		if (completions > 0) {
-			this.failures = 0;
-			this.probing = false;
-			this.closedMs = minClosedMs;
+			this.consecutiveFailures = 0;
+			this.isHalfOpen = false;
+			this.openMs = minOpenMs;
 		}
-		this.failures += failures;
-		if (failures > 0 && (this.failures >= closingFailures || this.probing)) {
-			this.close(now);
+		this.consecutiveFailures += failures;
+		if (failures > 0 && (this.consecutiveFailures >= failuresToOpen || this.isHalfOpen)) {
+			this.openCircuit(now);
 		}
 	}
 
-	/** Decides at the end of each window; true when the limit changed. */
-	update(used: number, now: number): boolean {
-		if (now < this.windowEnd || !this.opts.isAdaptive || this.probing) {
+	/** Adjusts the limit once per window; returns whether it changed. */
+	update(usedSlots: number, now: number): boolean {
+		if (now < this.windowEndsAt || !this.opts.isAdaptive || this.isHalfOpen) {
 			return false;
 		}
-		this.windowEnd = now + windowMs;
+		this.windowEndsAt = now + adjustmentWindowMs;
 		if (this.samples === 0) {
 			return false;
 		}
 		const before = Math.floor(this.value);
-		this.adjust(this.gapSum / this.samples / this.targetMs, used);
-		this.gapSum = 0;
+		this.adjust(this.interTokenSumMs / this.samples / this.strictestTargetMs, usedSlots);
+		this.interTokenSumMs = 0;
 		this.samples = 0;
 		return Math.floor(this.value) !== before;
 	}
 
-	/** All requests of a batch have the same pace, so the strictest of them decides for all. */
-	private noteTarget(targetMs: number, now: number): void {
-		const stale = now - this.targetSeenAt > targetKeptMs;
-		if (targetMs <= this.targetMs || stale) {
-			this.targetMs = targetMs;
+	/** All requests of a batch get tokens at the same rate, so the strictest target applies to all. */
+	private recordTarget(targetMs: number, now: number): void {
+		const isExpired = now - this.targetSeenAt > targetExpiryMs;
+		if (targetMs <= this.strictestTargetMs || isExpired) {
+			this.strictestTargetMs = targetMs;
 			this.targetSeenAt = now;
 		}
 	}
 
-	private adjust(strain: number, used: number): void {
-		if (strain > highStrain) {
-			const share = Math.min((strain - 1) / 2 + 0.02, maxCut);
-			this.value = Math.max(Math.min(this.value, used) * (1 - share), 1);
-		} else if (strain < lowStrain && used >= Math.floor(this.value)) {
+	private adjust(latencyRatio: number, usedSlots: number): void {
+		if (latencyRatio > decreaseThreshold) {
+			const share = Math.min((latencyRatio - 1) / 2 + 0.02, maxDecreaseShare);
+			this.value = Math.max(Math.min(this.value, usedSlots) * (1 - share), 1);
+		} else if (latencyRatio < increaseThreshold && usedSlots >= Math.floor(this.value)) {
 			const step = Math.max(1, this.value * 0.05);
 			this.value = Math.min(this.value + step, this.opts.max);
 		}
 	}
 
-	private close(now: number): void {
-		this.closedUntil = now + this.closedMs;
-		this.closedMs = Math.min(this.closedMs * 2, maxClosedMs);
-		this.probing = true;
-		this.failures = 0;
+	private openCircuit(now: number): void {
+		this.openUntil = now + this.openMs;
+		this.openMs = Math.min(this.openMs * 2, maxOpenMs);
+		this.isHalfOpen = true;
+		this.consecutiveFailures = 0;
 	}
 }
--- a/src/core/scheduling/definitions.ts
+++ b/src/core/scheduling/definitions.ts
@@ -1,33 +1,33 @@
 /**
- * Interfaces between an entry's queue and the policy that says what may start.
+ * Interfaces between a daemon's request queue and the policy that assigns slots to requests.
  * @module
  */
 import type { ConfigurationView } from '../configuration/index.js';
 import type { Request } from '../requests/types.js';
 import type { OrderingContext, RequestQueue } from './request-queue.js';
 
-/** A place on an endpoint that a request runs in. */
+/** Capacity of an endpoint to run one request. */
 export interface Slot {
 	readonly endpoint: string;
-	/** Runs outside the limit, so that its class makes progress. */
+	/** Reserved for the class of the request, outside the endpoint's limit. */
 	readonly isFloor: boolean;
 	readonly startedAt: number;
 }
 
-/** What one run on an endpoint showed. Milliseconds. */
+/** Measurements of one run on an endpoint. */
 export interface RunResult {
-	/** Until the first token, if one came. */
+	/** Time until the first token; undefined if none arrived. */
 	firstTokenMs?: number;
 	tokens: number;
-	/** Time from the first token to the last. */
+	/** Time from the first to the last token. */
 	streamedMs: number;
-	/** The endpoint could not be reached or broke. */
+	/** The endpoint was unreachable or broke off the response. */
 	failed: boolean;
-	/** It ended because it was cut off by this daemon. */
+	/** This daemon ended the run. */
 	cancelled: boolean;
 }
 
-/** What a policy is given each time it decides. */
+/** Input of a scheduling decision. */
 export interface SchedulingState {
 	now: number;
 	cfg: ConfigurationView;
@@ -35,22 +35,22 @@
 	ordering: OrderingContext;
 }
 
-/** A decision to start a request. */
+/** A request and the slot in which it starts. */
 export interface SlotAssignment {
 	req: Request;
 	slot: Slot;
 }
 
-/** Decides which waiting request may start, and where. */
+/** Decides which waiting requests start, and on which endpoints. */
 export interface SlotPolicy {
-	/** Takes the starts that are possible now; taken requests have left the queue. */
+	/** Assigns free slots to waiting requests and removes these from the queue. */
 	assignSlots(state: SchedulingState): SlotAssignment[];
-	/** Mean milliseconds between a run's newest tokens; called a few times a second at most. */
-	recordInterTokenLatency(req: Request, slot: Slot, gapMs: number, now: number): void;
-	/** A run has ended. */
+	/** Records the mean time between the latest tokens of a run; called a few times per second. */
+	recordInterTokenLatency(req: Request, slot: Slot, interTokenMs: number, now: number): void;
+	/** Releases the slot of a run that has ended. */
 	releaseSlot(req: Request, slot: Slot, result: RunResult, now: number): void;
-	/** Milliseconds a request of this tier and target would wait; 0 when not known. */
+	/** Estimated wait of a request with this tier and target; 0 if unknown. */
 	estimateWaitMs(state: SchedulingState, req: Request): number;
-	/** Whether an endpoint may be given work right now; asked again at dispatch. */
+	/** Whether the endpoint accepts work; checked again at dispatch. */
 	mayDispatch(endpoint: string): boolean;
 }
--- a/src/core/scheduling/endpoint-subsets.ts
+++ b/src/core/scheduling/endpoint-subsets.ts
@@ -1,18 +1,18 @@
 /**
- * Which endpoints an entry asks for slots. Endpoints that serve the same things want the same
- * requests; of many, an entry asks a fixed few, so that its messages do not grow with the fleet.
+ * Selects the endpoints from which a daemon requests slots. Out of many interchangeable endpoints
+ * it uses a fixed subset, so that its number of messages does not grow with the fleet.
  * @module
  */
 import type { ConfigurationView, Endpoint } from '../configuration/index.js';
 import * as rendezvous from '../membership/rendezvous.js';
 import { floorClassesByEndpoint } from './floors.js';
 
-/** Endpoints of one kind that an entry asks at the least, if there are so many. */
-const minAsked = 16;
-/** Entries that should ask each endpoint, so that none is left without work. */
-const askersPerEndpoint = 4;
+/** Minimum number of interchangeable endpoints in a daemon's subset, if that many exist. */
+const minSubsetSize = 16;
+/** Daemons that should include each endpoint on average, so that no endpoint starves. */
+const daemonsPerEndpoint = 4;
 
-/** Groups of endpoints that serve the same things, cut to those that `self` asks. */
+/** Groups of interchangeable endpoints, each reduced to the subset that `self` uses. */
 export function selectEndpointSubsets(
 	cfg: ConfigurationView,
 	self: string,
@@ -30,22 +30,22 @@
 		}
 	}
 	const floors = floorClassesByEndpoint(cfg);
-	return [...groups.values()].map((group) => choose(group, floors, self, fleetSize));
+	return [...groups.values()].map((group) => selectSubset(group, floors, self, fleetSize));
 }
 
-/** Endpoints that serve a class's minimum are always among the chosen. */
-function choose(
+/** The subset always includes endpoints that serve a class's floor. */
+function selectSubset(
 	group: Endpoint[],
 	floors: ReadonlyMap<string, unknown>,
 	self: string,
 	fleetSize: number,
 ): Endpoint[] {
-	const perEntry = Math.ceil((askersPerEndpoint * group.length) / fleetSize);
-	const count = Math.max(minAsked, perEntry);
+	const perDaemon = Math.ceil((daemonsPerEndpoint * group.length) / fleetSize);
+	const count = Math.max(minSubsetSize, perDaemon);
 	if (group.length <= count) {
 		return group;
 	}
 	const names = group.map((endpoint) => endpoint.name);
-	const asked = new Set(rendezvous.pickTop(self, names, count));
-	return group.filter(({ name }) => asked.has(name) || floors.has(name));
+	const selected = new Set(rendezvous.pickTop(self, names, count));
+	return group.filter(({ name }) => selected.has(name) || floors.has(name));
 }
--- a/src/core/scheduling/floors.ts
+++ b/src/core/scheduling/floors.ts
@@ -1,11 +1,11 @@
 /**
- * Where each class's minimum is served: fixed endpoints, the same for every daemon.
+ * Assigns the floor of each class to endpoints. Every daemon computes the same assignment.
  * @module
  */
 import type { ConfigurationView, Target } from '../configuration/index.js';
 import * as rendezvous from '../membership/rendezvous.js';
 
-/** Names of the classes whose minimum an endpoint serves, by endpoint. */
+/** Names of the classes whose floor an endpoint serves, by endpoint name. */
 export function floorClassesByEndpoint(cfg: ConfigurationView): Map<string, Set<string>> {
 	const floors = new Map<string, Set<string>>();
 	for (const target of targetsOf(cfg)) {
--- a/src/core/scheduling/granted-policy.ts
+++ b/src/core/scheduling/granted-policy.ts
@@ -1,7 +1,7 @@
 /**
- * The entry's side of granted slots: reports to each endpoint's owner what runs and what waits,
- * and starts requests in the slots that owners grant. Slots stay with the entry while nobody
- * waits for them, so that most requests start without a message.
+ * Slot policy that uses slots granted by the owners of endpoints. Reports running and waiting
+ * requests to the owners, and keeps unused slots while no request waits for them elsewhere, so that
+ * most requests start without a message.
  * @module
  */
 import type { Endpoint } from '../configuration/index.js';
@@ -21,78 +21,76 @@
 import type { Candidate } from './request-queue.js';
 import type { HolderReport, NameHash, OwnerReply, SlotRequest } from './types.js';
 
-/** Best waiting requests told to an owner. */
-const wantedBest = 8;
-/** Waiting requests of one class, customer and target that are looked at. */
-const wantedPerGroup = 6;
-/** A report without an answer is sent again after so long, in milliseconds. */
-const resendMs = 400;
-/** A report without a change is sent again after so long, in milliseconds. */
-const refreshMs = 5000;
+/** Maximum number of waiting requests of highest priority in a report. */
+const maxBestRequests = 8;
+/** Maximum number of waiting requests considered per class, customer and target. */
+const maxCandidatesPerGroup = 6;
+/** Time after which an unacknowledged report is sent again. */
+const resendAfterMs = 400;
+/** Time after which an unchanged report is sent again. */
+const refreshIntervalMs = 5000;
 
 export interface GrantedPolicyOptions {
-	/** Sends a report to an endpoint's owner. */
 	sendReport: (owner: string, report: HolderReport) => void;
-	/** Owner of an endpoint, undefined while there is none. */
+	/** Owner of an endpoint; undefined if there is none. */
 	ownerOf: (endpoint: string) => string | undefined;
-	/** Cuts off a run. */
 	preempt: (ticket: number) => void;
-	/** Whether a run could be cut off and resumed. */
+	/** Whether a run can be stopped and resumed. */
 	isPreemptable: (ticket: number) => boolean;
-	/** Asks for `takeStarts`. */
+	/** Requests a call of `assignSlots`. */
 	wake: () => void;
-	/** Name of this daemon; chooses the endpoints that it asks when there are many. */
+	/** Name of this daemon, from which its endpoint subsets are computed. */
 	self: string;
-	/** Live daemons. */
+	/** Number of live daemons. */
 	fleetSize: () => number;
-	/** First report number; higher than any of an earlier process of this VM. */
+	/** Initial report sequence number; above those of earlier processes on this VM. */
 	firstSeq: number;
 }
 
 export class GrantedPolicy implements SlotPolicy {
-	private readonly holdings = new Map<string, HeldSlots>();
-	private cachedFor?: SchedulingState['cfg'];
+	private readonly heldByEndpoint = new Map<string, HeldSlots>();
+	private groupedCfg?: SchedulingState['cfg'];
 	private groups: Endpoint[][] = [];
 
 	constructor(private readonly opts: GrantedPolicyOptions) {}
 
-	/** What this entry holds on an endpoint. */
+	/** Slots that this daemon holds on an endpoint. */
 	heldSlots(endpoint: string): HeldSlots {
-		let holding = this.holdings.get(endpoint);
-		if (!holding) {
-			holding = new HeldSlots(endpoint, this.opts.firstSeq);
-			this.holdings.set(endpoint, holding);
+		let held = this.heldByEndpoint.get(endpoint);
+		if (!held) {
+			held = new HeldSlots(endpoint, this.opts.firstSeq);
+			this.heldByEndpoint.set(endpoint, held);
 		}
-		return holding;
+		return held;
 	}
 
 	assignSlots(state: SchedulingState): SlotAssignment[] {
-		const starts: SlotAssignment[] = [];
-		this.useGrants(state, starts);
-		this.useIdle(state, starts);
-		return starts;
+		const assignments: SlotAssignment[] = [];
+		this.assignNewGrants(state, assignments);
+		this.assignIdleSlots(state, assignments);
+		return assignments;
 	}
 
 	/**
-	 * Sends the reports that are due. Called after starts were taken, and in between. True when it
-	 * should be called again soon, since some owners have not been told of waiting work.
+	 * Sends the reports that are due. Returns true if some owners have not yet received waiting
+	 * requests, so that it should be called again soon.
 	 */
 	sendDueReports(state: SchedulingState): boolean {
 		this.groupEndpoints(state);
-		let again = false;
+		let shouldRepeat = false;
 		for (const endpoints of this.groups) {
-			again = this.reportGroup(state, endpoints) || again;
+			shouldRepeat = this.reportGroup(state, endpoints) || shouldRepeat;
 		}
-		return again;
+		return shouldRepeat;
 	}
 
-	/** Takes in what an owner said. */
+	/** Applies the reply of an endpoint's current owner; ignores other senders. */
 	applyReply(from: string, reply: OwnerReply, now: number): void {
-		const holding = this.heldSlots(reply.endpoint);
+		const held = this.heldSlots(reply.endpoint);
 		if (from !== this.opts.ownerOf(reply.endpoint)) {
 			return;
 		}
-		if (holding.applyReply(reply, now)) {
+		if (held.applyReply(reply, now)) {
 			for (const ticket of reply.preemptTickets) {
 				this.opts.preempt(ticket);
 			}
@@ -100,139 +98,150 @@
 		}
 	}
 
-	/** Members changed: endpoints with another owner are told to it at once. */
+	/** Recomputes endpoint subsets and owners; new owners get a report at once. */
 	refreshOwners(): void {
-		this.cachedFor = undefined;
-		for (const holding of this.holdings.values()) {
-			const owner = this.opts.ownerOf(holding.endpoint);
-			if (owner !== holding.owner) {
-				holding.owner = owner;
-				holding.requireReport();
+		this.groupedCfg = undefined;
+		for (const held of this.heldByEndpoint.values()) {
+			const owner = this.opts.ownerOf(held.endpoint);
+			if (owner !== held.owner) {
+				held.owner = owner;
+				held.requireReport();
 			}
 		}
 		this.opts.wake();
 	}
 
-	/** This process was paused: what owners granted before is no longer theirs to keep. */
+	/** Discards unused slots after a pause of this process, since their grants may have expired. */
 	dropGrants(): void {
-		for (const holding of this.holdings.values()) {
-			holding.dropUnusedSlots();
+		for (const held of this.heldByEndpoint.values()) {
+			held.dropUnusedSlots();
 		}
 	}
 
-	recordInterTokenLatency(req: Request, slot: Slot, gapMs: number, now: number): void {
-		this.heldSlots(slot.endpoint).recordInterTokenLatency(gapMs, req.cls.between_tokens_ms, now);
+	recordInterTokenLatency(req: Request, slot: Slot, interTokenMs: number, now: number): void {
+		this.heldSlots(slot.endpoint).recordInterTokenLatency(
+			interTokenMs,
+			req.cls.between_tokens_ms,
+			now,
+		);
 	}
 
 	releaseSlot(req: Request, slot: Slot, result: RunResult, now: number): void {
-		const holding = this.heldSlots(slot.endpoint);
-		holding.recordEnd(req.ticket, slot, now);
+		const held = this.heldSlots(slot.endpoint);
+		held.recordEnd(req.ticket, slot, now);
 		if (result.failed) {
-			holding.observations.failures++;
+			held.observations.failures++;
 		} else if (!result.cancelled) {
-			holding.observations.completions++;
+			held.observations.completions++;
 		}
 	}
 
-	/** Work of this and higher tiers that waits over the fleet, over the rate of its endpoints. */
+	/** Waiting requests of this and higher tiers divided by the completion rate of the endpoints. */
 	estimateWaitMs(state: SchedulingState, req: Request): number {
-		let rate = 0;
-		let ahead = 0;
+		let completionsPerS = 0;
+		let waitingAhead = 0;
 		for (const endpoint of state.cfg.eligible(req.target, req.cls.name)) {
-			const { lastReply: reply } = this.heldSlots(endpoint.name);
-			rate += reply?.completionsPerS ?? 0;
-			ahead = Math.max(ahead, countAhead(reply, req.cls.tier));
+			const { lastReply } = this.heldSlots(endpoint.name);
+			completionsPerS += lastReply?.completionsPerS ?? 0;
+			waitingAhead = Math.max(waitingAhead, countWaitingUpTo(lastReply, req.cls.tier));
 		}
-		return rate > 0 ? (ahead / rate) * 1000 : 0;
+		return completionsPerS > 0 ? (waitingAhead / completionsPerS) * 1000 : 0;
 	}
 
 	mayDispatch(endpoint: string): boolean {
 		return this.heldSlots(endpoint).lastReply?.isUnavailable !== true;
 	}
 
-	private useGrants(state: SchedulingState, starts: SlotAssignment[]): void {
-		for (const holding of this.holdings.values()) {
-			const endpoint = state.cfg.endpointNamed(holding.endpoint);
-			for (const grant of holding.takeNewGrants()) {
-				const req = endpoint && this.bestFor(state, endpoint, grant.tier, grant.floorClass);
+	private assignNewGrants(state: SchedulingState, assignments: SlotAssignment[]): void {
+		for (const held of this.heldByEndpoint.values()) {
+			const endpoint = state.cfg.endpointNamed(held.endpoint);
+			for (const grant of held.takeNewGrants()) {
+				const req = endpoint && this.selectForGrant(state, endpoint, grant.tier, grant.floorClass);
 				if (req) {
-					const floor = grant.floorClass !== undefined;
-					starts.push(this.start(state, holding, req, floor));
+					const isFloor = grant.floorClass !== undefined;
+					assignments.push(this.assign(state, held, req, isFloor));
 				} else if (grant.floorClass === undefined) {
-					holding.keepOrReturnSlot(state.now);
+					held.keepOrReturnSlot(state.now);
 				}
 			}
 		}
 	}
 
-	private bestFor(
+	private selectForGrant(
 		state: SchedulingState,
 		endpoint: Endpoint,
 		tier: number,
-		floor: NameHash | undefined,
+		floorClass: NameHash | undefined,
 	): Request | undefined {
 		const accepts = (head: Request) => {
 			const fits =
-				floor === undefined ? head.cls.tier <= tier : rendezvous.hashName(head.cls.name) === floor;
+				floorClass === undefined
+					? head.cls.tier <= tier
+					: rendezvous.hashName(head.cls.name) === floorClass;
 			return fits && isEligible(state, endpoint, head);
 		};
-		const candidates = state.queue.selectBest(state.now, state.ordering, wantedPerGroup, accepts);
+		const candidates = state.queue.selectBest(
+			state.now,
+			state.ordering,
+			maxCandidatesPerGroup,
+			accepts,
+		);
 		return candidates.find(({ req }) => !avoids(req, endpoint.name, state.now))?.req;
 	}
 
-	private useIdle(state: SchedulingState, starts: SlotAssignment[]): void {
-		let idle = 0;
-		for (const holding of this.holdings.values()) {
-			idle += holding.usableIdleSlots;
+	private assignIdleSlots(state: SchedulingState, assignments: SlotAssignment[]): void {
+		let idleSlots = 0;
+		for (const held of this.heldByEndpoint.values()) {
+			idleSlots += held.usableIdleSlots;
 		}
-		if (idle === 0 || state.queue.size === 0) {
+		if (idleSlots === 0 || state.queue.size === 0) {
 			return;
 		}
-		const candidates = state.queue.selectBest(state.now, state.ordering, idle, () => true);
+		const candidates = state.queue.selectBest(state.now, state.ordering, idleSlots, () => true);
 		for (const { req } of candidates) {
-			const holding = this.leastLoadedIdle(state, req);
-			if (holding) {
-				holding.idleSlots--;
-				starts.push(this.start(state, holding, req, false));
+			const held = this.findLeastLoadedIdle(state, req);
+			if (held) {
+				held.idleSlots--;
+				assignments.push(this.assign(state, held, req, false));
 			}
 		}
 	}
 
-	private leastLoadedIdle(state: SchedulingState, req: Request): HeldSlots | undefined {
+	private findLeastLoadedIdle(state: SchedulingState, req: Request): HeldSlots | undefined {
 		let best: HeldSlots | undefined;
 		let bestLoad = Number.POSITIVE_INFINITY;
 		for (const endpoint of state.cfg.eligible(req.target, req.cls.name)) {
-			const holding = this.heldSlots(endpoint.name);
-			const open = holding.usableIdleSlots > 0 && !avoids(req, endpoint.name, state.now);
-			const load = open ? holding.load : Number.POSITIVE_INFINITY;
+			const held = this.heldSlots(endpoint.name);
+			const isUsable = held.usableIdleSlots > 0 && !avoids(req, endpoint.name, state.now);
+			const load = isUsable ? held.load : Number.POSITIVE_INFINITY;
 			if (load < bestLoad) {
-				best = holding;
+				best = held;
 				bestLoad = load;
 			}
 		}
 		return best;
 	}
 
-	private start(
+	private assign(
 		state: SchedulingState,
-		holding: HeldSlots,
+		held: HeldSlots,
 		req: Request,
-		floor: boolean,
+		isFloor: boolean,
 	): SlotAssignment {
 		state.queue.remove(req);
-		const slot: Slot = { endpoint: holding.endpoint, isFloor: floor, startedAt: state.now };
-		holding.recordStart(req, floor, state.now);
+		const slot: Slot = { endpoint: held.endpoint, isFloor, startedAt: state.now };
+		held.recordStart(req, isFloor, state.now);
 		return { req, slot };
 	}
 
 	private groupEndpoints(state: SchedulingState): void {
-		if (this.cachedFor !== state.cfg) {
-			this.cachedFor = state.cfg;
+		if (this.groupedCfg !== state.cfg) {
+			this.groupedCfg = state.cfg;
 			this.groups = selectEndpointSubsets(state.cfg, this.opts.self, this.opts.fleetSize());
 		}
 	}
 
-	/** True when some owners have not been told of waiting work. */
+	/** Returns true if some owners have not yet received waiting requests. */
 	private reportGroup(state: SchedulingState, endpoints: Endpoint[]): boolean {
 		const [sample] = endpoints;
 		if (!sample) {
@@ -242,48 +251,53 @@
 		const candidates =
 			state.queue.size === 0
 				? []
-				: state.queue.selectBest(state.now, state.ordering, wantedPerGroup, accepts);
-		const wanted = pickWanted(candidates);
-		const backlog = [...state.queue.countByTier(accepts).entries()];
-		const urgentAt = this.urgentEndpoint(endpoints);
-		const holdings = endpoints.map((endpoint) => this.heldSlots(endpoint.name));
-		const asked = selectReportTargets(holdings, wanted, state.now);
-		for (const holding of holdings) {
-			const mayUrge = holding.endpoint === urgentAt;
-			const want = wanted
-				.filter(({ req }) => asked.has(holding) && !avoids(req, holding.endpoint, state.now))
-				.map((candidate) => ticketOf(state, candidate, mayUrge));
-			holding.updateSlotRequests(want, state.now);
-			if (isDue(holding, state.now)) {
-				this.sendReport(state, holding, want, backlog);
+				: state.queue.selectBest(state.now, state.ordering, maxCandidatesPerGroup, accepts);
+		const selected = selectSlotRequests(candidates);
+		const waitingByTier = [...state.queue.countByTier(accepts).entries()];
+		const preemptionEndpoint = this.findPreemptionEndpoint(endpoints);
+		const allHeld = endpoints.map((endpoint) => this.heldSlots(endpoint.name));
+		const targets = selectReportTargets(allHeld, selected, state.now);
+		for (const held of allHeld) {
+			const mayPreempt = held.endpoint === preemptionEndpoint;
+			const slotRequests = selected
+				.filter(({ req }) => targets.has(held) && !avoids(req, held.endpoint, state.now))
+				.map((candidate) => slotRequestOf(state, candidate, mayPreempt));
+			held.updateSlotRequests(slotRequests, state.now);
+			if (isDue(held, state.now)) {
+				this.sendReport(state, held, slotRequests, waitingByTier);
 			}
 		}
-		return asked.size < holdings.length;
+		return targets.size < allHeld.length;
 	}
 
 	private sendReport(
 		state: SchedulingState,
-		holding: HeldSlots,
-		want: SlotRequest[],
-		backlog: [number, number][],
+		held: HeldSlots,
+		slotRequests: SlotRequest[],
+		waitingByTier: [number, number][],
 	): void {
-		const owner = this.opts.ownerOf(holding.endpoint);
+		const owner = this.opts.ownerOf(held.endpoint);
 		if (owner === undefined) {
 			return;
 		}
-		holding.owner = owner;
-		const report = holding.buildReport(want, backlog, state.now, this.opts.isPreemptable);
+		held.owner = owner;
+		const report = held.buildReport(
+			slotRequests,
+			waitingByTier,
+			state.now,
+			this.opts.isPreemptable,
+		);
 		this.opts.sendReport(owner, report);
 	}
 
-	/** The endpoint that runs the lowest work; only its owner is asked to preempt. */
-	private urgentEndpoint(endpoints: readonly Endpoint[]): string | undefined {
-		let lowest = 0;
+	/** The endpoint with the lowest preemptable tier; only its owner is asked to preempt. */
+	private findPreemptionEndpoint(endpoints: readonly Endpoint[]): string | undefined {
+		let lowestTier = 0;
 		let name: string | undefined;
 		for (const endpoint of endpoints) {
 			const tier = this.heldSlots(endpoint.name).lastReply?.lowestPreemptableTier ?? 0;
-			if (tier > lowest) {
-				lowest = tier;
+			if (tier > lowestTier) {
+				lowestTier = tier;
 				name = endpoint.name;
 			}
 		}
@@ -291,30 +305,34 @@
 	}
 }
 
-/** The best few, and the first of each class that is not among them. */
-function pickWanted(candidates: readonly Candidate[]): Candidate[] {
-	const wanted = candidates.slice(0, wantedBest);
-	const classes = new Set(wanted.map(({ req }) => req.cls.name));
-	for (const candidate of candidates.slice(wantedBest)) {
+/** The requests of highest priority, and the first of each class that is not among them. */
+function selectSlotRequests(candidates: readonly Candidate[]): Candidate[] {
+	const selected = candidates.slice(0, maxBestRequests);
+	const classes = new Set(selected.map(({ req }) => req.cls.name));
+	for (const candidate of candidates.slice(maxBestRequests)) {
 		if (!classes.has(candidate.req.cls.name)) {
 			classes.add(candidate.req.cls.name);
-			wanted.push(candidate);
+			selected.push(candidate);
 		}
 	}
-	return wanted;
+	return selected;
 }
 
-function isDue(holding: HeldSlots, now: number): boolean {
-	const unanswered = holding.sentSeq > holding.ackedSeq;
-	const resend = unanswered && now - holding.sentAt > resendMs;
-	const refresh = !holding.isEmpty && now - holding.sentAt > refreshMs;
-	return holding.isReportUrgent || now >= holding.reportDueAt || resend || refresh;
+function isDue(held: HeldSlots, now: number): boolean {
+	const isUnacknowledged = held.sentSeq > held.ackedSeq;
+	const shouldResend = isUnacknowledged && now - held.sentAt > resendAfterMs;
+	const shouldRefresh = !held.isEmpty && now - held.sentAt > refreshIntervalMs;
+	return held.isReportUrgent || now >= held.reportDueAt || shouldResend || shouldRefresh;
 }
 
-function ticketOf(state: SchedulingState, candidate: Candidate, mayUrge: boolean): SlotRequest {
+function slotRequestOf(
+	state: SchedulingState,
+	candidate: Candidate,
+	mayPreempt: boolean,
+): SlotRequest {
 	const { req } = candidate;
-	const waited = state.now - req.waitingSince;
-	const patience = state.cfg.document.policy.preempt_after * req.cls.first_token_ms;
+	const waitedMs = state.now - req.waitingSince;
+	const preemptAfterMs = state.cfg.document.policy.preempt_after * req.cls.first_token_ms;
 	return {
 		ticket: req.ticket,
 		tier: req.cls.tier,
@@ -322,8 +340,8 @@
 		customerHash: rendezvous.hashName(req.customer),
 		slackMs: Math.round(candidate.slackMs - state.ordering.firstTokenLeadMs(req)),
 		isLate: candidate.isLate,
-		waitedMs: Math.round(waited),
-		requestsPreemption: mayUrge && waited > patience,
+		waitedMs: Math.round(waitedMs),
+		requestsPreemption: mayPreempt && waitedMs > preemptAfterMs,
 	};
 }
 
@@ -331,10 +349,10 @@
 	return state.cfg.eligible(req.target, req.cls.name).includes(endpoint);
 }
 
-function countAhead(reply: OwnerReply | undefined, tier: number): number {
-	let ahead = 0;
-	for (const [other, count] of reply?.waitingByTier ?? []) {
-		ahead += other <= tier ? count : 0;
+function countWaitingUpTo(reply: OwnerReply | undefined, tier: number): number {
+	let total = 0;
+	for (const [otherTier, count] of reply?.waitingByTier ?? []) {
+		total += otherTier <= tier ? count : 0;
 	}
-	return ahead;
+	return total;
 }
--- a/src/core/scheduling/held-slots.ts
+++ b/src/core/scheduling/held-slots.ts
@@ -1,6 +1,6 @@
 /**
- * What one entry holds on one endpoint: granted slots, unused slots, running requests, and what
- * its owner last said.
+ * Slots that this daemon holds on one endpoint, and the state of its message exchange with the
+ * endpoint's owner.
  * @module
  */
 import * as rendezvous from '../membership/rendezvous.js';
@@ -16,45 +16,45 @@
 	SlotRequest,
 } from './types.js';
 
-/** Unused slots are given back after so long, in milliseconds. */
-const idleMs = 5000;
-/** Waiting work that is gone is told within this time, in milliseconds. */
-const soonMs = 50;
-/** Waiting requests that an owner should know, so that a slot that ends finds its next. */
-const enoughKnown = 2;
-/** Other changes are told within this time, in milliseconds. */
-const laterMs = 500;
+/** Time after which half of the unused slots are returned. */
+const maxIdleMs = 5000;
+/** Maximum delay of a report after a waiting request is gone. */
+const withdrawalDelayMs = 50;
+/** Waiting requests that the owner should know, so that it can grant a freed slot at once. */
+const minReportedRequests = 2;
+/** Maximum delay of a report after other changes. */
+const maxReportDelayMs = 500;
 
 interface Run {
 	tier: number;
-	cls: NameHash;
-	customer: NameHash;
-	floor: boolean;
+	classHash: NameHash;
+	customerHash: NameHash;
+	isFloor: boolean;
 }
 
 export class HeldSlots {
 	owner?: string;
 	lastReply?: OwnerReply;
-	/** Slots held unused. */
+	/** Unused slots that this daemon keeps. */
 	idleSlots = 0;
 	sentSeq: number;
 	ackedSeq: number;
 	sentAt = 0;
-	/** When what is untold must be told at the latest. */
+	/** Latest time of the next report. */
 	reportDueAt = Number.POSITIVE_INFINITY;
-	/** Something must be told at once. */
+	/** The next report must be sent at once. */
 	isReportUrgent = false;
-	observations: EndpointObservations = noObservation();
-	private gapSum = 0;
-	private gapCount = 0;
-	private strictestMs = Number.POSITIVE_INFINITY;
+	observations: EndpointObservations = emptyObservations();
+	private interTokenSumMs = 0;
+	private interTokenCount = 0;
+	private strictestTargetMs = Number.POSITIVE_INFINITY;
 	private epoch = 0;
-	private granted = 0;
-	private offers: Grant[] = [];
+	private lastGrantId = 0;
+	private newGrants: Grant[] = [];
 	private readonly runs = new Map<number, Run>();
-	/** Tiers of the waiting requests that the owner knows, by ticket. */
-	private readonly told = new Map<number, number>();
-	private readonly toldUrgent = new Set<number>();
+	/** Tiers of the waiting requests in the latest report, by ticket. */
+	private readonly reportedTiers = new Map<number, number>();
+	private readonly reportedPreemptionRequests = new Set<number>();
 	private idleUsedAt = 0;
 
 	constructor(
@@ -65,12 +65,12 @@
 		this.ackedSeq = firstSeq;
 	}
 
-	/** Unused slots that a request may start in. */
+	/** Unused slots in which requests may start. */
 	get usableIdleSlots(): number {
 		return this.lastReply?.isUnavailable ? 0 : this.idleSlots;
 	}
 
-	/** Share of the endpoint's limit in use, as last heard. */
+	/** Used slots by the owner's latest reply plus runs of this daemon, relative to the limit. */
 	get load(): number {
 		const limit = Math.max(this.lastReply?.limit ?? 1, 1);
 		return (this.lastReply?.usedSlots ?? 0) / limit + this.runs.size / limit;
@@ -81,33 +81,33 @@
 	}
 
 	get isEmpty(): boolean {
-		return this.runs.size === 0 && this.idleSlots === 0 && this.told.size === 0;
+		return this.runs.size === 0 && this.idleSlots === 0 && this.reportedTiers.size === 0;
 	}
 
-	/** Whether the owner has been told of a waiting request. */
+	/** Whether the latest report contains a waiting request. */
 	hasReported(ticket: number): boolean {
-		return this.told.has(ticket);
+		return this.reportedTiers.has(ticket);
 	}
 
-	/** Takes in a reply; false when it is of an older term. */
+	/** Applies a reply; returns false if its epoch is outdated. */
 	applyReply(reply: OwnerReply, now: number): boolean {
 		if (reply.epoch < this.epoch) {
 			return false;
 		}
 		if (reply.epoch > this.epoch) {
 			this.epoch = reply.epoch;
-			this.granted = 0;
+			this.lastGrantId = 0;
 		}
 		this.ackedSeq = Math.max(this.ackedSeq, reply.reportSeq);
 		for (const grant of reply.grants) {
-			if (grant.id > this.granted) {
-				this.granted = grant.id;
-				this.offers.push(grant);
-				this.changed(now);
+			if (grant.id > this.lastGrantId) {
+				this.lastGrantId = grant.id;
+				this.newGrants.push(grant);
+				this.scheduleReport(now);
 			}
 		}
-		const stale = reply.reportSeq < this.sentSeq;
-		if (!stale && this.idleSlots > reply.maxIdleSlots) {
+		const isOutdated = reply.reportSeq < this.sentSeq;
+		if (!isOutdated && this.idleSlots > reply.maxIdleSlots) {
 			this.idleSlots = reply.maxIdleSlots;
 			this.isReportUrgent = true;
 		}
@@ -116,30 +116,35 @@
 	}
 
 	takeNewGrants(): Grant[] {
-		const { offers } = this;
-		this.offers = [];
-		return offers;
+		const { newGrants } = this;
+		this.newGrants = [];
+		return newGrants;
 	}
 
-	recordStart(req: Request, floor: boolean, now: number): void {
-		const cls = rendezvous.hashName(req.cls.name);
-		const customer = rendezvous.hashName(req.customer);
-		this.runs.set(req.ticket, { tier: req.cls.tier, cls, customer, floor });
+	recordStart(req: Request, isFloor: boolean, now: number): void {
+		const classHash = rendezvous.hashName(req.cls.name);
+		const customerHash = rendezvous.hashName(req.customer);
+		this.runs.set(req.ticket, {
+			tier: req.cls.tier,
+			classHash,
+			customerHash,
+			isFloor,
+		});
 		this.idleUsedAt = now;
-		this.changed(now);
+		this.scheduleReport(now);
 	}
 
 	recordEnd(ticket: number, slot: Slot, now: number): void {
 		this.runs.delete(ticket);
-		this.changed(now);
+		this.scheduleReport(now);
 		if (!slot.isFloor) {
 			this.keepOrReturnSlot(now);
 		}
 	}
 
-	/** A free slot stays here while nobody waits for it. */
+	/** Keeps a freed slot unless requests wait for it elsewhere or the endpoint is unavailable. */
 	keepOrReturnSlot(now: number): void {
-		this.changed(now);
+		this.scheduleReport(now);
 		if (!this.lastReply || this.lastReply.isContended || this.lastReply.isUnavailable) {
 			this.isReportUrgent = true;
 			return;
@@ -148,7 +153,7 @@
 		this.idleUsedAt = now;
 	}
 
-	/** Another owner has heard nothing yet. */
+	/** Requests an immediate report to a new owner, which has no state of this daemon. */
 	requireReport(): void {
 		if (!this.isEmpty) {
 			this.isReportUrgent = true;
@@ -157,47 +162,49 @@
 
 	dropUnusedSlots(): void {
 		this.idleSlots = 0;
-		this.offers = [];
+		this.newGrants = [];
 		this.isReportUrgent = true;
 	}
 
 	/**
-	 * What the owner has to know of waiting work. New work is told at once only if the owner knows
-	 * too little of it to give the next slots rightly; the rest rides on the next report.
+	 * Schedules the report of the waiting requests. It is immediate only if the owner lacks requests
+	 * that it needs to grant the next slots in the right order.
 	 */
-	updateSlotRequests(want: readonly SlotRequest[], now: number): void {
-		this.returnUnused(now);
-		let known = 0;
-		let untold = 0;
-		for (const { ticket, tier, requestsPreemption: urgent } of want) {
-			const told = this.told.has(ticket);
-			known += told ? 1 : 0;
-			untold += told ? 0 : 1;
-			const outranked = this.firstToldTier() > tier;
+	updateSlotRequests(slotRequests: readonly SlotRequest[], now: number): void {
+		this.returnExpiredIdleSlots(now);
+		let knownCount = 0;
+		let newCount = 0;
+		for (const { ticket, tier, requestsPreemption } of slotRequests) {
+			const isKnown = this.reportedTiers.has(ticket);
+			knownCount += isKnown ? 1 : 0;
+			newCount += isKnown ? 0 : 1;
+			const outranksReported = this.highestReportedTier() > tier;
 			if (
-				(!told && (known < enoughKnown || outranked)) ||
-				(urgent && !this.toldUrgent.has(ticket))
+				(!isKnown && (knownCount < minReportedRequests || outranksReported)) ||
+				(requestsPreemption && !this.reportedPreemptionRequests.has(ticket))
 			) {
 				this.isReportUrgent = true;
 			}
 		}
-		const vanished = this.told.size - known;
-		if (vanished > 0) {
-			this.due(now + (untold >= vanished ? laterMs : soonMs));
+		const withdrawnCount = this.reportedTiers.size - knownCount;
+		if (withdrawnCount > 0) {
+			this.scheduleReportBy(
+				now + (newCount >= withdrawnCount ? maxReportDelayMs : withdrawalDelayMs),
+			);
 		}
 	}
 
-	/** A run was observed; its figures go out with the next report. */
-	recordInterTokenLatency(gapMs: number, targetMs: number, now: number): void {
-		this.gapSum += gapMs;
-		this.gapCount++;
-		this.strictestMs = Math.min(this.strictestMs, targetMs);
-		this.due(now + laterMs);
+	/** Adds a latency sample of a run to the next report. */
+	recordInterTokenLatency(interTokenMs: number, targetMs: number, now: number): void {
+		this.interTokenSumMs += interTokenMs;
+		this.interTokenCount++;
+		this.strictestTargetMs = Math.min(this.strictestTargetMs, targetMs);
+		this.scheduleReportBy(now + maxReportDelayMs);
 	}
 
 	buildReport(
-		want: SlotRequest[],
-		backlog: [number, number][],
+		slotRequests: SlotRequest[],
+		waitingByTier: [number, number][],
 		now: number,
 		isPreemptable: (ticket: number) => boolean,
 	): HolderReport {
@@ -205,19 +212,19 @@
 		this.sentAt = now;
 		this.reportDueAt = Number.POSITIVE_INFINITY;
 		this.isReportUrgent = false;
-		this.rememberTold(want);
-		const observed = { ...this.observations, ...this.takeGap() };
-		this.observations = noObservation();
+		this.recordReported(slotRequests);
+		const observations = { ...this.observations, ...this.takeInterTokenMean() };
+		this.observations = emptyObservations();
 		return {
 			endpoint: this.endpoint,
 			seq: this.sentSeq,
 			epoch: this.epoch,
-			lastGrantId: this.granted,
+			lastGrantId: this.lastGrantId,
 			running: this.runningSlots(isPreemptable),
-			idleSlots: this.idleSlots + this.offers.length,
-			slotRequests: want,
-			waitingByTier: backlog,
-			observations: observed,
+			idleSlots: this.idleSlots + this.newGrants.length,
+			slotRequests,
+			waitingByTier,
+			observations,
 			knownLimit: this.lastReply?.limit ?? 0,
 		};
 	}
@@ -230,53 +237,56 @@
 		return slots;
 	}
 
-	private takeGap(): { gapMs: number; targetMs: number } {
-		const seen = this.gapCount > 0;
-		const gap = seen
-			? { gapMs: this.gapSum / this.gapCount, targetMs: this.strictestMs }
-			: { gapMs: 0, targetMs: 0 };
-		this.gapSum = 0;
-		this.gapCount = 0;
-		this.strictestMs = Number.POSITIVE_INFINITY;
-		return gap;
+	private takeInterTokenMean(): Pick<EndpointObservations, 'interTokenMs' | 'interTokenTargetMs'> {
+		const hasSamples = this.interTokenCount > 0;
+		const mean = hasSamples
+			? {
+					interTokenMs: this.interTokenSumMs / this.interTokenCount,
+					interTokenTargetMs: this.strictestTargetMs,
+				}
+			: { interTokenMs: 0, interTokenTargetMs: 0 };
+		this.interTokenSumMs = 0;
+		this.interTokenCount = 0;
+		this.strictestTargetMs = Number.POSITIVE_INFINITY;
+		return mean;
 	}
 
-	private rememberTold(want: readonly SlotRequest[]): void {
-		this.told.clear();
-		this.toldUrgent.clear();
-		for (const { ticket, tier, requestsPreemption: urgent } of want) {
-			this.told.set(ticket, tier);
-			if (urgent) {
-				this.toldUrgent.add(ticket);
+	private recordReported(slotRequests: readonly SlotRequest[]): void {
+		this.reportedTiers.clear();
+		this.reportedPreemptionRequests.clear();
+		for (const { ticket, tier, requestsPreemption } of slotRequests) {
+			this.reportedTiers.set(ticket, tier);
+			if (requestsPreemption) {
+				this.reportedPreemptionRequests.add(ticket);
 			}
 		}
 	}
 
-	private returnUnused(now: number): void {
-		if (this.idleSlots > 0 && now - this.idleUsedAt > idleMs) {
+	private returnExpiredIdleSlots(now: number): void {
+		if (this.idleSlots > 0 && now - this.idleUsedAt > maxIdleMs) {
 			this.idleSlots = Math.floor(this.idleSlots / 2);
 			this.idleUsedAt = now;
-			this.changed(now);
+			this.scheduleReport(now);
 		}
 	}
 
-	private firstToldTier(): number {
-		let first = Number.POSITIVE_INFINITY;
-		for (const tier of this.told.values()) {
-			first = Math.min(first, tier);
+	private highestReportedTier(): number {
+		let highest = Number.POSITIVE_INFINITY;
+		for (const tier of this.reportedTiers.values()) {
+			highest = Math.min(highest, tier);
 		}
-		return first;
+		return highest;
 	}
 
-	private changed(now: number): void {
-		this.due(now + laterMs);
+	private scheduleReport(now: number): void {
+		this.scheduleReportBy(now + maxReportDelayMs);
 	}
 
-	private due(at: number): void {
-		this.reportDueAt = Math.min(this.reportDueAt, at);
+	private scheduleReportBy(dueAt: number): void {
+		this.reportDueAt = Math.min(this.reportDueAt, dueAt);
 	}
 }
 
-function noObservation(): EndpointObservations {
+function emptyObservations(): EndpointObservations {
 	return { completions: 0, failures: 0, interTokenMs: 0, interTokenTargetMs: 0 };
 }
--- a/src/core/scheduling/independent-policy.ts
+++ b/src/core/scheduling/independent-policy.ts
@@ -1,6 +1,6 @@
 /**
- * The baseline: every daemon alone. A request goes to the endpoint with the least load by its
- * last report plus what this daemon itself has sent there; tiers hold on this daemon only.
+ * Slot policy without coordination between daemons. A request goes to the endpoint with the lowest
+ * load known to this daemon; tiers apply within this daemon only.
  * @module
  */
 import type { Endpoint } from '../configuration/index.js';
@@ -15,11 +15,11 @@
 	SlotPolicy,
 } from './definitions.js';
 
-/** An endpoint that failed is left alone for so long, in milliseconds. */
+/** Time without new requests to an endpoint after a failure. */
 const failurePauseMs = 1000;
 
 interface EndpointUse {
-	own: number;
+	ownRequests: number;
 	report?: LoadReport;
 	pausedUntil: number;
 }
@@ -27,32 +27,31 @@
 export class IndependentPolicy implements SlotPolicy {
 	private readonly uses = new Map<string, EndpointUse>();
 
-	/** Takes in a load report. */
 	applyLoadReport(endpoint: string, report: LoadReport): void {
 		this.use(endpoint).report = report;
 	}
 
 	assignSlots(state: SchedulingState): SlotAssignment[] {
-		const starts: SlotAssignment[] = [];
+		const assignments: SlotAssignment[] = [];
 		const limit = state.queue.size;
 		const candidates = state.queue.selectBest(state.now, state.ordering, limit, () => true);
 		for (const { req } of candidates) {
-			const endpoint = this.leastLoaded(state, req);
+			const endpoint = this.findLeastLoaded(state, req);
 			if (endpoint) {
 				state.queue.remove(req);
-				this.use(endpoint.name).own++;
-				const slot = { endpoint: endpoint.name, floor: false, startedAt: state.now };
-				starts.push({ req, slot });
+				this.use(endpoint.name).ownRequests++;
+				const slot = { endpoint: endpoint.name, isFloor: false, startedAt: state.now };
+				assignments.push({ req, slot });
 			}
 		}
-		return starts;
+		return assignments;
 	}
 
 	recordInterTokenLatency(): void {}
 
 	releaseSlot(_req: Request, slot: Slot, result: RunResult, now: number): void {
 		const use = this.use(slot.endpoint);
-		use.own--;
+		use.ownRequests--;
 		if (result.failed) {
 			use.pausedUntil = now + failurePauseMs;
 		}
@@ -66,7 +65,7 @@
 		return this.use(endpoint).report?.leaving !== true;
 	}
 
-	private leastLoaded(state: SchedulingState, req: Request): Endpoint | undefined {
+	private findLeastLoaded(state: SchedulingState, req: Request): Endpoint | undefined {
 		let best: Endpoint | undefined;
 		let bestLoad = Number.POSITIVE_INFINITY;
 		for (const endpoint of state.cfg.eligible(req.target, req.cls.name)) {
@@ -79,20 +78,20 @@
 		return best;
 	}
 
-	/** Share of the endpoint's slots in use; infinite when it takes none. */
+	/** Used share of the endpoint's slots; infinite if it accepts no request. */
 	private loadOf(endpoint: Endpoint, now: number): number {
 		const use = this.use(endpoint.name);
 		const reported = (use.report?.running ?? 0) + (use.report?.waiting ?? 0);
-		const load = Math.max(use.own, reported);
-		const closed = use.report?.leaving === true || use.pausedUntil > now;
-		const full = use.own >= endpoint.slots || load >= endpoint.slots;
-		return closed || full ? Number.POSITIVE_INFINITY : load / endpoint.slots;
+		const load = Math.max(use.ownRequests, reported);
+		const isUnavailable = use.report?.leaving === true || use.pausedUntil > now;
+		const isFull = use.ownRequests >= endpoint.slots || load >= endpoint.slots;
+		return isUnavailable || isFull ? Number.POSITIVE_INFINITY : load / endpoint.slots;
 	}
 
 	private use(endpoint: string): EndpointUse {
 		let use = this.uses.get(endpoint);
 		if (!use) {
-			use = { own: 0, pausedUntil: 0 };
+			use = { ownRequests: 0, pausedUntil: 0 };
 			this.uses.set(endpoint, use);
 		}
 		return use;
--- a/src/core/scheduling/ledger-queries.ts
+++ b/src/core/scheduling/ledger-queries.ts
@@ -1,5 +1,5 @@
 /**
- * Questions over all entries of an endpoint's ledger.
+ * Queries over all slot holders of an endpoint.
  * @module
  */
 
@@ -9,47 +9,48 @@
 
 type Holders = Iterable<SlotHolder>;
 
-/** The request of a class that waits longest. */
+/** The request of a class that has waited longest. */
 export function findLongestWaiting(holders: Holders, cls: NameHash): WaitingRequest | undefined {
-	let oldest: WaitingRequest | undefined;
+	let longest: WaitingRequest | undefined;
 	for (const holder of holders) {
 		for (const waiting of holder.waiting) {
 			if (
 				waiting.slotRequest.classHash === cls &&
-				(!oldest || waiting.waitingSince < oldest.waitingSince)
+				(!longest || waiting.waitingSince < longest.waitingSince)
 			) {
-				oldest = waiting;
+				longest = waiting;
 			}
 		}
 	}
-	return oldest;
+	return longest;
 }
 
-/** The request of the highest tier that asks for a preemption. */
+/** The request of the highest tier that asks for preemption. */
 export function findPreemptionRequest(
 	waiting: readonly WaitingRequest[],
 ): WaitingRequest | undefined {
-	let urgent: WaitingRequest | undefined;
+	let best: WaitingRequest | undefined;
 	for (const item of waiting) {
 		if (
 			item.slotRequest.requestsPreemption &&
-			(!urgent || item.slotRequest.tier < urgent.slotRequest.tier)
+			(!best || item.slotRequest.tier < best.slotRequest.tier)
 		) {
-			urgent = item;
+			best = item;
 		}
 	}
-	return urgent;
+	return best;
 }
 
-/** The run of the lowest tier that may be cut off. */
+/** The preemptable run of the lowest tier. */
 export function findLowestPreemptable(
 	holders: Holders,
 ): { holder: SlotHolder; slot: RunningSlot } | undefined {
 	let lowest: { holder: SlotHolder; slot: RunningSlot } | undefined;
 	for (const holder of holders) {
 		for (const slot of holder.running) {
-			const open = slot.isPreemptable && !slot.isFloor && !holder.preemptTickets.has(slot.ticket);
-			if (open && (!lowest || slot.tier > lowest.slot.tier)) {
+			const isCandidate =
+				slot.isPreemptable && !slot.isFloor && !holder.preemptTickets.has(slot.ticket);
+			if (isCandidate && (!lowest || slot.tier > lowest.slot.tier)) {
 				lowest = { holder, slot };
 			}
 		}
@@ -57,7 +58,7 @@
 	return lowest;
 }
 
-/** Requests of each customer that run or will. */
+/** Running and granted requests by customer. */
 export function countRunningByCustomer(holders: Holders): Map<NameHash, number> {
 	const counts = new Map<NameHash, number>();
 	const add = (customer: NameHash) => counts.set(customer, (counts.get(customer) ?? 0) + 1);
@@ -66,13 +67,12 @@
 			add(slot.customerHash);
 		}
 		for (const grant of holder.pendingGrants) {
-			add(grant.ticket.customerHash);
+			add(grant.slotRequest.customerHash);
 		}
 	}
 	return counts;
 }
 
-/** Waiting requests by tier. */
 export function countWaitingByTier(holders: Holders): [tier: number, count: number][] {
 	const byTier = new Map<number, number>();
 	for (const holder of holders) {
@@ -83,17 +83,17 @@
 	return [...byTier.entries()];
 }
 
-/** Place of a waiting request in the order over all entries. */
+/** Ordering key of a waiting request; `shares` holds the running requests by customer. */
 export function orderingKeyOf(
 	waiting: WaitingRequest,
 	shares: ReadonlyMap<NameHash, number>,
 	now: number,
 ): OrderingKey {
-	const slack = waiting.firstTokenDueAt - now;
+	const slackMs = waiting.firstTokenDueAt - now;
 	return {
 		tier: waiting.slotRequest.tier,
-		isLate: waiting.slotRequest.isLate || slack < 0,
+		isLate: waiting.slotRequest.isLate || slackMs < 0,
 		customerShare: shares.get(waiting.slotRequest.customerHash) ?? 0,
-		slackMs: slack,
+		slackMs,
 	};
 }
--- a/src/core/scheduling/owned-ledgers.ts
+++ b/src/core/scheduling/owned-ledgers.ts
@@ -1,6 +1,6 @@
 /**
- * The ledgers of the endpoints that this daemon owns. Ownership follows from the live members
- * alone: no lease, no call to the key-value service.
+ * Slot ledgers of the endpoints that this daemon owns. Ownership is computed from the live members,
+ * without leases or calls to the key-value store.
  * @module
  */
 import type { ConfigurationView, Endpoint } from '../configuration/index.js';
@@ -13,13 +13,13 @@
 import { SlotLedger } from './slot-ledger.js';
 import type { HolderReport, OwnerReply } from './types.js';
 
-/** A part that sees less of the fleet than this claims only its share of each endpoint. */
-const majority = 0.5;
+/** A partition that sees no more than this share of the fleet uses its share of each endpoint. */
+const majorityShare = 0.5;
 
 export interface OwnedLedgersOptions {
 	self: string;
 	sendReply: (to: string, reply: OwnerReply) => void;
-	/** Names an owner's term; grows with time. */
+	/** Returns the epoch of a new ledger; increases with time. */
 	newEpoch: () => number;
 	onOwnedChanged?: (owned: readonly Endpoint[]) => void;
 	recordEvent: RecordEvent;
@@ -29,7 +29,7 @@
 	private readonly ledgers = new Map<string, SlotLedger>();
 	private readonly owners = new OwnerMap();
 	private cfg?: ConfigurationView;
-	private share = 1;
+	private capacityShare = 1;
 
 	constructor(private readonly opts: OwnedLedgersOptions) {}
 
@@ -44,39 +44,39 @@
 	configure(cfg: ConfigurationView, now: number): void {
 		this.cfg = cfg;
 		this.owners.setKeys(cfg.document.endpoints.map((endpoint) => endpoint.name));
-		this.reassign(now);
+		this.updateOwnership(now);
 		this.configureLedgers(cfg);
 	}
 
-	/** Live members changed; `visible` is the share of the listed fleet that is seen. */
+	/** Applies changed live members; `visible` is their share of the registered fleet. */
 	setMembers(live: readonly string[], visible: number, now: number): void {
 		this.owners.setMembers(live);
-		this.share = visible > majority ? 1 : visible;
-		this.reassign(now);
+		this.capacityShare = visible > majorityShare ? 1 : visible;
+		this.updateOwnership(now);
 	}
 
-	/** A member is gone for good. */
+	/** Removes the state of a dead member. */
 	removeMember(member: string): void {
 		for (const ledger of this.ledgers.values()) {
 			ledger.removeHolder(member);
 		}
 	}
 
-	/** This process was paused: what its ledgers say is out of date. */
+	/** Discards all ledgers, which are out of date after a pause of this process. */
 	clear(): void {
 		this.ledgers.clear();
 	}
 
-	/** An owned endpoint said whether it takes work. */
-	setUnavailable(endpoint: string, closed: boolean): void {
-		this.ledgers.get(endpoint)?.setUnavailable(closed);
+	/** Sets whether an owned endpoint refuses new work. */
+	setUnavailable(endpoint: string, isUnavailable: boolean): void {
+		this.ledgers.get(endpoint)?.setUnavailable(isUnavailable);
 	}
 
 	applyReport(from: string, report: HolderReport, now: number): void {
 		this.ledgers.get(report.endpoint)?.applyReport(from, report, now);
 	}
 
-	/** Decides on every owned endpoint and sends what is due. */
+	/** Allocates the slots of all owned endpoints and sends the replies that are due. */
 	allocateSlots(now: number): void {
 		for (const ledger of this.ledgers.values()) {
 			ledger.allocateSlots(now);
@@ -86,7 +86,7 @@
 		}
 	}
 
-	private reassign(now: number): void {
+	private updateOwnership(now: number): void {
 		const { cfg } = this;
 		if (!cfg) {
 			return;
@@ -94,12 +94,12 @@
 		const owned = cfg.document.endpoints.filter(
 			(endpoint) => this.owners.ownerOf(endpoint.name) === this.opts.self,
 		);
-		this.keepLedgers(owned, now);
+		this.updateLedgers(owned, now);
 		this.assignFloors(cfg);
 		this.opts.onOwnedChanged?.(owned);
 	}
 
-	private keepLedgers(owned: readonly Endpoint[], now: number): void {
+	private updateLedgers(owned: readonly Endpoint[], now: number): void {
 		const names = new Set(owned.map((endpoint) => endpoint.name));
 		for (const name of this.ledgers.keys()) {
 			if (!names.has(name)) {
@@ -107,14 +107,14 @@
 			}
 		}
 		for (const endpoint of owned) {
-			const ledger = this.ledgers.get(endpoint.name) ?? this.makeLedger(endpoint, now);
+			const ledger = this.ledgers.get(endpoint.name) ?? this.createLedger(endpoint, now);
 			this.ledgers.set(endpoint.name, ledger);
-			ledger.setCapacityShare(this.share);
+			ledger.setCapacityShare(this.capacityShare);
 			ledger.setUnavailable(endpoint.state !== 'active');
 		}
 	}
 
-	/** A changed configuration holds for endpoints that were owned before, too. */
+	/** Applies a changed configuration to existing ledgers. */
 	private configureLedgers(cfg: ConfigurationView): void {
 		for (const [name, ledger] of this.ledgers) {
 			const endpoint = cfg.endpointNamed(name);
@@ -124,23 +124,23 @@
 		}
 	}
 
-	private makeLedger(endpoint: Endpoint, now: number): SlotLedger {
+	private createLedger(endpoint: Endpoint, now: number): SlotLedger {
 		const limits = this.limitsOf(endpoint);
-		const { recordEvent: record, newEpoch: epoch } = this.opts;
-		record(eventKinds.ownerChanged, { endpoint: endpoint.name, member: this.opts.self });
+		const { recordEvent, newEpoch } = this.opts;
+		recordEvent(eventKinds.ownerChanged, { endpoint: endpoint.name, member: this.opts.self });
 		return new SlotLedger({
 			endpoint: endpoint.name,
 			limits,
-			recordEvent: record,
-			epoch: epoch(),
+			recordEvent,
+			epoch: newEpoch(),
 			now,
 		});
 	}
 
 	private limitsOf(endpoint: Endpoint): AdaptiveLimitOptions {
-		const learns = this.cfg?.document.policy.learn_limits ?? true;
+		const isAdaptive = this.cfg?.document.policy.learn_limits ?? true;
 		const isEngine = endpoint.kind === 'engine';
-		return { initial: endpoint.slots, max: endpoint.max_slots, isAdaptive: learns && isEngine };
+		return { initial: endpoint.slots, max: endpoint.max_slots, isAdaptive: isAdaptive && isEngine };
 	}
 
 	private assignFloors(cfg: ConfigurationView): void {
--- a/src/core/scheduling/report-targets.ts
+++ b/src/core/scheduling/report-targets.ts
@@ -1,31 +1,31 @@
 /**
- * While nothing is scarce, a waiting request is told to two owners first and to the others only
- * if it still waits a moment later; else every owner asked would grant it a slot.
+ * Selects the endpoint owners that receive waiting requests. Without contention only a few owners
+ * do at first, since each of them might grant a slot for the same request.
  * @module
  */
 import type { HeldSlots } from './held-slots.js';
 import type { Candidate } from './request-queue.js';
 
-/** Owners that are told first. */
-const firstAsked = 2;
-/** A request that waits so long is told to all owners that its entry asks, in milliseconds. */
+/** Owners that receive a waiting request first. */
+const maxInitialTargets = 2;
+/** Waiting time after which a request is reported to all owners. */
 export const escalationDelayMs = 25;
 
-/** Holdings whose owners are to hear of the wanted requests now. */
+/** The members of `allHeld` whose owners receive the `waiting` requests now. */
 export function selectReportTargets(
-	holdings: readonly HeldSlots[],
-	wanted: readonly Candidate[],
+	allHeld: readonly HeldSlots[],
+	waiting: readonly Candidate[],
 	now: number,
 ): ReadonlySet<HeldSlots> {
-	const waits = wanted.some(({ req }) => now - req.waitingSince >= escalationDelayMs);
-	const scarce = holdings.some((holding) => holding.lastReply?.isContended === true);
-	if (wanted.length === 0 || waits || scarce || holdings.length <= firstAsked) {
-		return new Set(holdings);
+	const isOverdue = waiting.some(({ req }) => now - req.waitingSince >= escalationDelayMs);
+	const isContended = allHeld.some((held) => held.lastReply?.isContended === true);
+	if (waiting.length === 0 || isOverdue || isContended || allHeld.length <= maxInitialTargets) {
+		return new Set(allHeld);
 	}
-	const told = holdings.filter((holding) =>
-		wanted.some(({ req }) => holding.hasReported(req.ticket)),
+	const informed = allHeld.filter((held) =>
+		waiting.some(({ req }) => held.hasReported(req.ticket)),
 	);
-	const open = holdings.filter((holding) => holding.lastReply?.isUnavailable !== true);
-	const byLoad = [...open].sort((a, b) => a.load - b.load);
-	return new Set([...told, ...byLoad].slice(0, Math.max(firstAsked, told.length)));
+	const available = allHeld.filter((held) => held.lastReply?.isUnavailable !== true);
+	const byLoad = [...available].sort((a, b) => a.load - b.load);
+	return new Set([...informed, ...byLoad].slice(0, Math.max(maxInitialTargets, informed.length)));
 }
--- a/src/core/scheduling/request-ordering.ts
+++ b/src/core/scheduling/request-ordering.ts
@@ -1,25 +1,24 @@
 /**
- * The order of waiting work, the same at an entry and at an endpoint's owner: tier strictly
- * first; inside a tier, requests that can still meet their first-token target, then customers
- * within their fair share, then the earliest deadline.
+ * Ordering of waiting requests, shared by request queues and endpoint owners: by tier, then
+ * requests that can still meet their first-token target, then fair share, then earliest deadline.
  * @module
  */
 
-/** What the order looks at. */
+/** Attributes that determine the order of a waiting request. */
 export interface OrderingKey {
 	tier: number;
-	/** The first-token target can no longer be met. */
+	/** The request can no longer meet its first-token target. */
 	isLate: boolean;
-	/** Running requests of the customer over its weight; fewer go first when shares are unequal. */
+	/** Running requests of the customer divided by its weight; lower values go first. */
 	customerShare: number;
-	/** Milliseconds until the first token is due; negative when past. */
+	/** Time left until the first token is due; negative once it is overdue. */
 	slackMs: number;
 }
 
-/** Shares within one step of this size count as equal, so that the deadline decides. */
-const shareStep = 2;
+/** Shares within one step of this size compare as equal, so that the deadline decides. */
+const customerShareStep = 2;
 
-/** Negative when `a` runs before `b`. */
+/** Comparator for sorting: negative if `a` runs before `b`. */
 export function compare(a: OrderingKey, b: OrderingKey): number {
 	if (a.tier !== b.tier) {
 		return a.tier - b.tier;
@@ -27,20 +26,22 @@
 	if (a.isLate !== b.isLate) {
 		return a.isLate ? 1 : -1;
 	}
-	const shares = Math.floor(a.customerShare / shareStep) - Math.floor(b.customerShare / shareStep);
-	return shares === 0 ? a.slackMs - b.slackMs : shares;
+	const shareDifference =
+		Math.floor(a.customerShare / customerShareStep) -
+		Math.floor(b.customerShare / customerShareStep);
+	return shareDifference === 0 ? a.slackMs - b.slackMs : shareDifference;
 }
 
-/** Position of the item that runs first; -1 for none. */
-export function indexOfFirst<T>(items: readonly T[], orderOf: (item: T) => OrderingKey): number {
-	let best = -1;
-	let bestOrder: OrderingKey | undefined;
-	for (const [at, item] of items.entries()) {
-		const itemOrder = orderOf(item);
-		if (!bestOrder || compare(itemOrder, bestOrder) < 0) {
-			best = at;
-			bestOrder = itemOrder;
+/** Index of the item that runs first; -1 if `items` is empty. */
+export function indexOfFirst<T>(items: readonly T[], keyOf: (item: T) => OrderingKey): number {
+	let bestIndex = -1;
+	let bestKey: OrderingKey | undefined;
+	for (const [index, item] of items.entries()) {
+		const key = keyOf(item);
+		if (!bestKey || compare(key, bestKey) < 0) {
+			bestIndex = index;
+			bestKey = key;
 		}
 	}
-	return best;
+	return bestIndex;
 }
--- a/src/core/scheduling/request-queue.ts
+++ b/src/core/scheduling/request-queue.ts
@@ -1,37 +1,36 @@
 /**
- * Requests that wait on one daemon, bounded in number and bytes. Groups of one class, customer
- * and target keep their own deadline order, so that picking looks at group heads only.
+ * Queue of the requests that wait on this daemon, bounded in number and bytes. Requests of the same
+ * class, customer and target form a group in deadline order, so that selection checks group heads.
  * @module
  */
 import type { Request } from '../requests/types.js';
-import * as order from './request-ordering.js';
+import * as ordering from './request-ordering.js';
 
-interface Group {
-	/** By `firstTokenBy`, earliest first. */
-	items: Request[];
+interface RequestGroup {
+	/** In ascending order of `firstTokenBy`. */
+	requests: Request[];
 }
 
-/** Bounds of the queue. */
 export interface QueueLimits {
 	requests: number;
 	bytes: number;
 }
 
-/** What the queue has to know of running work to put waiting work in order. */
+/** Information about running requests that the ordering of waiting requests needs. */
 export interface OrderingContext {
-	/** Running requests of the customer, over its weight. */
+	/** Running requests of the customer divided by its weight. */
 	customerShare(customer: string): number;
-	/** Estimated milliseconds from a dispatch to the first token. */
+	/** Estimated time from dispatch to the first token. */
 	firstTokenLeadMs(req: Request): number;
 }
 
-/** A waiting request with what decides its place. */
-export interface Candidate extends order.OrderingKey {
+/** A waiting request with its ordering key. */
+export interface Candidate extends ordering.OrderingKey {
 	req: Request;
 }
 
 export class RequestQueue {
-	private readonly groups = new Map<string, Group>();
+	private readonly groups = new Map<string, RequestGroup>();
 	private count = 0;
 	private bytes = 0;
 
@@ -42,14 +41,14 @@
 	}
 
 	/**
-	 * Adds a request. When the queue is over a bound, the last of the lowest tier is taken out and
-	 * returned; it may be the request itself.
+	 * Adds a request. While the queue exceeds a limit, evicts the last request of the lowest tier,
+	 * which may be the added one. Returns the evicted requests.
 	 */
 	add(req: Request): Request[] {
 		this.insert(req);
 		const evicted: Request[] = [];
 		while (this.count > this.limits.requests || this.bytes > this.limits.bytes) {
-			const victim = this.lastOfLowestTier();
+			const victim = this.findEvictionVictim();
 			if (!victim) {
 				break;
 			}
@@ -59,7 +58,7 @@
 		return evicted;
 	}
 
-	/** Puts back a request that had a place already, whatever the bounds. */
+	/** Adds a request that was admitted before, regardless of the limits. */
 	requeue(req: Request): void {
 		this.insert(req);
 	}
@@ -67,12 +66,12 @@
 	remove(req: Request): boolean {
 		const key = groupKey(req);
 		const group = this.groups.get(key);
-		const at = group ? group.items.indexOf(req) : -1;
-		if (!group || at < 0) {
+		const index = group ? group.requests.indexOf(req) : -1;
+		if (!group || index < 0) {
 			return false;
 		}
-		group.items.splice(at, 1);
-		if (group.items.length === 0) {
+		group.requests.splice(index, 1);
+		if (group.requests.length === 0) {
 			this.groups.delete(key);
 		}
 		this.count--;
@@ -82,60 +81,60 @@
 
 	*[Symbol.iterator](): IterableIterator<Request> {
 		for (const group of this.groups.values()) {
-			yield* group.items;
+			yield* group.requests;
 		}
 	}
 
-	/** Best waiting requests that pass `accepts`, in order; at most `perGroup` of each group. */
+	/** Up to `maxPerGroup` requests of each group whose head passes `accepts`, best first. */
 	selectBest(
 		now: number,
-		shares: OrderingContext,
-		perGroup: number,
+		context: OrderingContext,
+		maxPerGroup: number,
 		accepts: (head: Request) => boolean,
 	): Candidate[] {
-		const found: Candidate[] = [];
+		const candidates: Candidate[] = [];
 		for (const group of this.groups.values()) {
-			const head = group.items[0];
+			const head = group.requests[0];
 			if (head && accepts(head)) {
-				this.collect(group, now, shares, perGroup, found);
+				this.collect(group, now, context, maxPerGroup, candidates);
 			}
 		}
-		return found.sort(order.compare);
+		return candidates.sort(ordering.compare);
 	}
 
-	/** Waiting requests by tier, of those whose group passes `accepts`. */
+	/** Number of waiting requests by tier in groups whose head passes `accepts`. */
 	countByTier(accepts: (head: Request) => boolean): Map<number, number> {
 		const byTier = new Map<number, number>();
 		for (const group of this.groups.values()) {
-			const head = group.items[0];
+			const head = group.requests[0];
 			if (head && accepts(head)) {
-				byTier.set(head.cls.tier, (byTier.get(head.cls.tier) ?? 0) + group.items.length);
+				byTier.set(head.cls.tier, (byTier.get(head.cls.tier) ?? 0) + group.requests.length);
 			}
 		}
 		return byTier;
 	}
 
-	/** Late requests of a group come after those that can still be in time. */
+	/** Within a group, requests that can still meet their target come before late ones. */
 	private collect(
-		group: Group,
+		group: RequestGroup,
 		now: number,
-		shares: OrderingContext,
-		perGroup: number,
-		found: Candidate[],
+		context: OrderingContext,
+		maxPerGroup: number,
+		candidates: Candidate[],
 	): void {
-		const leadMs = shares.firstTokenLeadMs(group.items[0] as Request);
-		const start = firstDueFrom(group.items, now + leadMs) % group.items.length;
-		for (let taken = 0; taken < Math.min(perGroup, group.items.length); taken++) {
-			const req = group.items[(start + taken) % group.items.length];
+		const leadMs = context.firstTokenLeadMs(group.requests[0] as Request);
+		const start = indexOfFirstDue(group.requests, now + leadMs) % group.requests.length;
+		for (let offset = 0; offset < Math.min(maxPerGroup, group.requests.length); offset++) {
+			const req = group.requests[(start + offset) % group.requests.length];
 			if (req) {
-				const slack = req.firstTokenBy - now;
-				const share = shares.customerShare(req.customer) + taken / req.weight;
-				found.push({
+				const slackMs = req.firstTokenBy - now;
+				const customerShare = context.customerShare(req.customer) + offset / req.weight;
+				candidates.push({
 					req,
 					tier: req.cls.tier,
-					isLate: slack < leadMs,
-					customerShare: share,
-					slackMs: slack,
+					isLate: slackMs < leadMs,
+					customerShare,
+					slackMs,
 				});
 			}
 		}
@@ -145,23 +144,23 @@
 		const key = groupKey(req);
 		let group = this.groups.get(key);
 		if (!group) {
-			group = { items: [] };
+			group = { requests: [] };
 			this.groups.set(key, group);
 		}
-		let at = group.items.length;
-		while (at > 0 && (group.items[at - 1]?.firstTokenBy ?? 0) > req.firstTokenBy) {
-			at--;
+		let index = group.requests.length;
+		while (index > 0 && (group.requests[index - 1]?.firstTokenBy ?? 0) > req.firstTokenBy) {
+			index--;
 		}
-		group.items.splice(at, 0, req);
+		group.requests.splice(index, 0, req);
 		this.count++;
 		this.bytes += req.bytes;
 	}
 
-	private lastOfLowestTier(): Request | undefined {
+	private findEvictionVictim(): Request | undefined {
 		let victim: Request | undefined;
 		for (const group of this.groups.values()) {
-			const last = group.items.at(-1);
-			if (last && (!victim || isLower(last, victim))) {
+			const last = group.requests.at(-1);
+			if (last && (!victim || isLowerPriority(last, victim))) {
 				victim = last;
 			}
 		}
@@ -169,7 +168,7 @@
 	}
 }
 
-function isLower(a: Request, b: Request): boolean {
+function isLowerPriority(a: Request, b: Request): boolean {
 	if (a.cls.tier !== b.cls.tier) {
 		return a.cls.tier > b.cls.tier;
 	}
@@ -180,8 +179,8 @@
 	return `${req.cls.name} ${req.customer} ${req.target}`;
 }
 
-/** Position of the first request due at `time` or later; the length when there is none. */
-function firstDueFrom(items: readonly Request[], time: number): number {
+/** Index of the first request due at `time` or later; `items.length` if there is none. */
+function indexOfFirstDue(items: readonly Request[], time: number): number {
 	let low = 0;
 	let high = items.length;
 	while (low < high) {
--- a/src/core/scheduling/slot-holder.ts
+++ b/src/core/scheduling/slot-holder.ts
@@ -1,120 +1,117 @@
 /**
- * One entry as an endpoint's owner knows it.
+ * State of one slot holder (a daemon that uses an endpoint) at the endpoint's owner.
  * @module
  */
 import type { Grant, HolderReport, NameHash, RunningSlot, SlotRequest } from './types.js';
 
-/** A grant that its entry has not confirmed after so long is taken back, in milliseconds. */
-const grantLostMs = 3000;
+/** Time after which a grant that its holder has not confirmed expires. */
+const grantTimeoutMs = 3000;
 
 interface PendingGrant extends Grant {
-	ticket: SlotRequest;
-	at: number;
+	slotRequest: SlotRequest;
+	grantedAt: number;
 }
 
-/** A request that waits at an entry. */
+/** A waiting request and its holder. Times are on the owner's clock. */
 export interface WaitingRequest {
 	holder: SlotHolder;
 	slotRequest: SlotRequest;
-	/** Owner's time at which the first token is due. */
 	firstTokenDueAt: number;
-	/** Owner's time at which it began to wait. */
 	waitingSince: number;
 }
 
 export class SlotHolder {
-	/** Last report taken in. */
 	lastReportSeq = 0;
 	running: RunningSlot[] = [];
 	waiting: WaitingRequest[] = [];
 	waitingByTier: [tier: number, count: number][] = [];
-	/** Unused slots that it holds. */
+	/** Unused slots that the holder keeps. */
 	idleSlots = 0;
-	/** Unused slots that it may keep. */
+	/** Maximum number of unused slots that the holder may keep. */
 	maxIdleSlots = Number.MAX_SAFE_INTEGER;
-	/** Runs that it is asked to cut off, by ticket. */
+	/** Tickets of the runs that the holder is asked to preempt. */
 	readonly preemptTickets = new Set<number>();
-	/** When something must be said to it at the latest. */
+	/** Latest time of the next reply. */
 	replyDueAt = 0;
 	private pending: PendingGrant[] = [];
-	private granted = 0;
-	private nextGrant = 1;
+	private confirmedGrantId = 0;
+	private nextGrantId = 1;
 
 	constructor(readonly id: string) {}
 
-	/** Grants that it has not confirmed. */
+	/** Grants that the holder has not confirmed. */
 	get pendingGrants(): readonly PendingGrant[] {
 		return this.pending;
 	}
 
-	/** Slots of the limit that it uses, holds, or has been granted. */
+	/** Slots within the limit that are running, idle or granted. */
 	get usedSlots(): number {
 		const running = this.running.filter((slot) => !slot.isFloor).length;
 		const pending = this.pending.filter((grant) => grant.floorClass === undefined).length;
 		return this.idleSlots + running + pending;
 	}
 
-	/** Takes in its state. */
+	/** Replaces the holder's state by its latest report. */
 	applyReport(report: HolderReport, epoch: number, now: number): void {
 		this.lastReportSeq = report.seq;
 		if (report.epoch === epoch) {
-			this.confirm(report.lastGrantId);
+			this.confirmGrants(report.lastGrantId);
 		}
 		this.running = report.running;
 		this.idleSlots = report.idleSlots;
 		this.waitingByTier = report.waitingByTier;
-		this.forgetEndedPreempts();
-		const promised = new Set(this.pending.map((grant) => grant.ticket.ticket));
+		this.removeEndedPreemptions();
+		const grantedTickets = new Set(this.pending.map((grant) => grant.slotRequest.ticket));
 		this.waiting = report.slotRequests
-			.filter((ticket) => !promised.has(ticket.ticket))
-			.map((ticket) => ({
+			.filter((slotRequest) => !grantedTickets.has(slotRequest.ticket))
+			.map((slotRequest) => ({
 				holder: this,
-				ticket,
-				dueAt: now + ticket.slackMs,
-				since: now - ticket.waitedMs,
+				slotRequest,
+				firstTokenDueAt: now + slotRequest.slackMs,
+				waitingSince: now - slotRequest.waitedMs,
 			}));
 	}
 
-	/** Gives a slot for a waiting request; `floor` names the class for one outside the limit. */
-	grant(waiting: WaitingRequest, now: number, floor?: NameHash): void {
-		const { slotRequest: ticket } = waiting;
+	/** Grants a slot for a waiting request; with `floorClass`, the slot is outside the limit. */
+	grant(waiting: WaitingRequest, now: number, floorClass?: NameHash): void {
+		const { slotRequest } = waiting;
 		this.pending.push({
-			id: this.nextGrant++,
-			tier: ticket.tier,
-			floorClass: floor,
-			ticket,
-			at: now,
+			id: this.nextGrantId++,
+			tier: slotRequest.tier,
+			floorClass,
+			slotRequest,
+			grantedAt: now,
 		});
 		this.waiting = this.waiting.filter((other) => other !== waiting);
 		this.replyDueAt = 0;
 	}
 
-	/** Grants of another term are void. */
+	/** Discards the grants of an earlier epoch. */
 	dropGrants(): void {
 		this.pending = [];
 		this.replyDueAt = 0;
 	}
 
 	expireGrants(now: number): void {
-		if (this.pending.some((grant) => now - grant.at >= grantLostMs)) {
-			this.pending = this.pending.filter((grant) => now - grant.at < grantLostMs);
+		if (this.pending.some((grant) => now - grant.grantedAt >= grantTimeoutMs)) {
+			this.pending = this.pending.filter((grant) => now - grant.grantedAt < grantTimeoutMs);
 		}
 	}
 
-	/** Whether it runs, or will, the minimum of a class. */
+	/** Whether a slot for the floor of a class is running or granted. */
 	servesFloor(cls: NameHash): boolean {
 		const running = this.running.some((slot) => slot.isFloor && slot.classHash === cls);
 		return running || this.pending.some((grant) => grant.floorClass === cls);
 	}
 
-	private confirm(granted: number): void {
-		this.granted = Math.max(this.granted, granted);
-		// An entry that was forgotten and is back has taken in grants of this term before.
-		this.nextGrant = Math.max(this.nextGrant, granted + 1);
-		this.pending = this.pending.filter((grant) => grant.id > this.granted);
+	private confirmGrants(lastGrantId: number): void {
+		this.confirmedGrantId = Math.max(this.confirmedGrantId, lastGrantId);
+		// A holder that was removed and returns has already applied grants of this epoch.
+		this.nextGrantId = Math.max(this.nextGrantId, lastGrantId + 1);
+		this.pending = this.pending.filter((grant) => grant.id > this.confirmedGrantId);
 	}
 
-	private forgetEndedPreempts(): void {
+	private removeEndedPreemptions(): void {
 		const running = new Set(this.running.map((slot) => slot.ticket));
 		for (const ticket of this.preemptTickets) {
 			if (!running.has(ticket)) {
--- a/src/core/scheduling/slot-ledger.ts
+++ b/src/core/scheduling/slot-ledger.ts
@@ -1,7 +1,6 @@
 /**
- * One endpoint's slots, as its owner keeps them: who runs what, who waits, who gets the next
- * slot. Pure: reports go in, replies come out. Soft state only; a new owner learns it from the
- * entries' next reports.
+ * Allocates the slots of one endpoint at its owner, without I/O: reports of slot holders in, replies
+ * out. All state is soft; a new owner rebuilds it from the next reports.
  * @module
  */
 
@@ -9,98 +8,99 @@
 import { eventKinds } from '../timeline/index.js';
 import type { AdaptiveLimitOptions } from './adaptive-limit.js';
 import { AdaptiveLimit } from './adaptive-limit.js';
-import * as search from './ledger-queries.js';
-import * as order from './request-ordering.js';
+import * as queries from './ledger-queries.js';
+import * as ordering from './request-ordering.js';
 import type { WaitingRequest } from './slot-holder.js';
 import { SlotHolder } from './slot-holder.js';
 import type { HolderReport, NameHash, OwnerReply } from './types.js';
 
-/** A report that changes nothing is acknowledged within this time, in milliseconds. */
-const acknowledgeMs = 150;
-/** A new owner listens for so long before it grants, in milliseconds. */
-const learnMs = 400;
-/** After the last waiting request, slots stay on demand for so long, in milliseconds. */
-const contentionMs = 1000;
-/** A class that waits so long without a slot here is given its minimum, in milliseconds. */
-const floorAfterMs = 1000;
-/** Least time between two preemptions on one endpoint, in milliseconds. */
-const preemptEveryMs = 100;
-/** Weight of the newest rate. */
-const rateWeight = 0.3;
-/** Time over which the rate is counted, in milliseconds. */
+/** Maximum delay of the acknowledgement of a report. */
+const maxAckDelayMs = 150;
+/** Time during which a new owner collects reports before it grants slots. */
+const warmupMs = 400;
+/** Time that the endpoint stays contended after the last request has waited. */
+const contentionHoldMs = 1000;
+/** Waiting time after which a class gets its floor. */
+const floorDelayMs = 1000;
+/** Minimum time between two preemptions on the endpoint. */
+const minPreemptionIntervalMs = 100;
+/** Weight of the latest window in the smoothed completion rate. */
+const rateSmoothing = 0.3;
+/** Minimum window over which completions are counted. */
 const rateWindowMs = 1000;
 
-/** Records an event of the time line. */
+/** Records an event on the timeline. */
 export type RecordEvent = (kind: EventKind, fields: EventFields) => void;
 
-/** What the ledger needs to know of the endpoint. */
 export interface LedgerOptions {
 	endpoint: string;
 	limits: AdaptiveLimitOptions;
-	/** Takes in events for the time line. */
 	recordEvent: RecordEvent;
-	/** Names the owner's term. */
+	/** Identifies the ownership period. */
 	epoch: number;
 	now: number;
 }
 
 export class SlotLedger {
 	private readonly holders = new Map<string, SlotHolder>();
-	private readonly learner: AdaptiveLimit;
+	private readonly adaptiveLimit: AdaptiveLimit;
 	private epoch: number;
-	private readonly grantFrom: number;
-	private inherited = false;
+	private readonly grantsStartAt: number;
+	private hasInheritedLimit = false;
 	private contendedUntil: number;
 	private lastPreemptAt = 0;
 	private completions = 0;
-	private rateSince: number;
-	private rate = 0;
-	private share = 1;
-	private closed = false;
-	/** Classes whose minimum this endpoint serves. */
-	private floors: readonly NameHash[] = [];
+	private rateWindowStart: number;
+	private completionsPerS = 0;
+	private capacityShare = 1;
+	private isUnavailable = false;
+	/** Classes whose floor this endpoint serves. */
+	private floorClasses: readonly NameHash[] = [];
 
 	constructor(private readonly opts: LedgerOptions) {
 		this.epoch = opts.epoch;
-		this.grantFrom = opts.now + learnMs;
-		// Until it has heard from the entries, an owner cannot know that nobody waits.
-		this.contendedUntil = this.grantFrom + contentionMs;
-		this.rateSince = opts.now;
-		this.learner = new AdaptiveLimit(opts.limits);
+		this.grantsStartAt = opts.now + warmupMs;
+		// Before the first reports, requests may be waiting that the owner does not know of.
+		this.contendedUntil = this.grantsStartAt + contentionHoldMs;
+		this.rateWindowStart = opts.now;
+		this.adaptiveLimit = new AdaptiveLimit(opts.limits);
 	}
 
-	/** Takes in a changed configuration of the endpoint. */
+	/** Applies a changed configuration of the endpoint. */
 	configure(limits: AdaptiveLimitOptions): void {
-		this.learner.configure(limits);
-		this.touchAll();
+		this.adaptiveLimit.configure(limits);
+		this.scheduleAllReplies();
 	}
 
-	/** Classes whose minimum is served here; decided by the daemon. */
-	setFloors(floors: readonly NameHash[]): void {
-		this.floors = floors;
+	/** Sets the classes whose floor this endpoint serves. */
+	setFloors(floorClasses: readonly NameHash[]): void {
+		this.floorClasses = floorClasses;
 	}
 
-	/** Share of the endpoint that this owner may claim; less than 1 when it may be cut off. */
+	/** Sets the share of the limit that this owner may use; below 1 in a minority partition. */
 	setCapacityShare(share: number): void {
-		this.share = share;
+		this.capacityShare = share;
 	}
 
-	/** The endpoint takes no new work. */
-	setUnavailable(closed: boolean): void {
-		if (closed !== this.closed) {
-			this.closed = closed;
-			const reason = closed ? 'takes no work' : 'takes work again';
+	/** Sets whether the endpoint refuses new work. */
+	setUnavailable(isUnavailable: boolean): void {
+		if (isUnavailable !== this.isUnavailable) {
+			this.isUnavailable = isUnavailable;
+			const reason = isUnavailable ? 'takes no work' : 'takes work again';
 			this.record(eventKinds.endpointLeaving, { reason });
-			this.touchAll();
+			this.scheduleAllReplies();
 		}
 	}
 
+	/** Slots that may be used now; 0 while the endpoint is unavailable. */
 	limit(now: number): number {
-		const limit = this.learner.limit(now);
-		return limit === 0 || this.closed ? 0 : Math.max(1, Math.floor(limit * this.share));
+		const limit = this.adaptiveLimit.limit(now);
+		return limit === 0 || this.isUnavailable
+			? 0
+			: Math.max(1, Math.floor(limit * this.capacityShare));
 	}
 
-	/** Slots of the limit that are in use, held unused or on their way. */
+	/** Slots within the limit that are running, idle at a holder or granted. */
 	usedSlots(): number {
 		let used = 0;
 		for (const holder of this.holders.values()) {
@@ -109,145 +109,147 @@
 		return used;
 	}
 
-	/** Takes in one entry's state. */
+	/** Applies the report of one slot holder; ignores outdated reports. */
 	applyReport(from: string, report: HolderReport, now: number): void {
-		const holder = this.holder(from);
-		holder.replyDueAt = Math.min(holder.replyDueAt, now + acknowledgeMs);
+		const holder = this.getOrCreateHolder(from);
+		holder.replyDueAt = Math.min(holder.replyDueAt, now + maxAckDelayMs);
 		if (report.seq <= holder.lastReportSeq) {
 			return;
 		}
 		if (report.epoch > this.epoch) {
 			this.epoch = report.epoch + 1;
-			this.forgetGrants();
+			this.dropGrants();
 		}
-		if (!this.inherited && report.knownLimit > 0 && report.epoch !== this.epoch) {
-			this.inherited = true;
-			this.learner.inherit(report.knownLimit);
+		if (!this.hasInheritedLimit && report.knownLimit > 0 && report.epoch !== this.epoch) {
+			this.hasInheritedLimit = true;
+			this.adaptiveLimit.inherit(report.knownLimit);
 		}
 		holder.applyReport(report, this.epoch, now);
 		this.completions += report.observations.completions;
-		this.learner.observe(report.observations, now);
+		this.adaptiveLimit.observe(report.observations, now);
 	}
 
-	/** An entry is gone, and its requests with it. */
+	/** Removes a holder together with its requests. */
 	removeHolder(id: string): void {
 		this.holders.delete(id);
 	}
 
-	/** Decides who gets what; entries to be told are marked. */
+	/** Grants, recalls and preempts slots, and schedules replies to the affected holders. */
 	allocateSlots(now: number): void {
-		this.countRate(now);
-		this.dropLostGrants(now);
-		if (this.learner.update(this.usedSlots(), now)) {
-			this.record(eventKinds.limitChanged, { value: this.learner.limit(now) });
-			this.touchAll();
+		this.updateRate(now);
+		this.expireGrants(now);
+		if (this.adaptiveLimit.update(this.usedSlots(), now)) {
+			this.record(eventKinds.limitChanged, { value: this.adaptiveLimit.limit(now) });
+			this.scheduleAllReplies();
 		}
-		if (now < this.grantFrom) {
+		if (now < this.grantsStartAt) {
 			return;
 		}
 		const waiting = this.allWaiting();
-		this.grantFree(waiting, now);
+		this.grantFreeSlots(waiting, now);
 		this.updateContention(waiting, now);
 		this.grantFloors(now);
-		this.preemptFor(waiting, now);
+		this.preemptForRequest(waiting, now);
 	}
 
-	/** Replies that are due, by entry. */
+	/** Returns the replies that are due and marks them as sent. */
 	takeDueReplies(now: number): { to: string; reply: OwnerReply }[] {
 		const replies: { to: string; reply: OwnerReply }[] = [];
 		for (const holder of this.holders.values()) {
 			if (now >= holder.replyDueAt) {
 				holder.replyDueAt = Number.POSITIVE_INFINITY;
-				replies.push({ to: holder.id, reply: this.reply(holder, now) });
+				replies.push({ to: holder.id, reply: this.buildReply(holder, now) });
 			}
 		}
 		return replies;
 	}
 
-	private grantFree(waiting: WaitingRequest[], now: number): void {
+	private grantFreeSlots(waiting: WaitingRequest[], now: number): void {
 		let free = this.limit(now) - this.usedSlots();
 		if (free <= 0 || waiting.length === 0) {
 			return;
 		}
-		const shares = search.countRunningByCustomer(this.holders.values());
+		const shares = queries.countRunningByCustomer(this.holders.values());
 		while (free > 0 && waiting.length > 0) {
-			const at = order.indexOfFirst(waiting, (item) => search.orderingKeyOf(item, shares, now));
-			const [next] = waiting.splice(at, 1);
+			const index = ordering.indexOfFirst(waiting, (item) =>
+				queries.orderingKeyOf(item, shares, now),
+			);
+			const [next] = waiting.splice(index, 1);
 			if (next) {
 				this.grant(next, now);
-				const { customerHash: customer } = next.slotRequest;
-				shares.set(customer, (shares.get(customer) ?? 0) + 1);
+				const { customerHash } = next.slotRequest;
+				shares.set(customerHash, (shares.get(customerHash) ?? 0) + 1);
 			}
 			free--;
 		}
 	}
 
-	/** While requests wait, unused slots are called in and slots that end come back at once. */
+	/** While requests wait, recalls unused slots and has holders return slots when runs end. */
 	private updateContention(waiting: readonly WaitingRequest[], now: number): void {
-		const before = this.isContended(now);
+		const wasContended = this.isContended(now);
 		if (waiting.length > 0) {
-			this.contendedUntil = now + contentionMs;
+			this.contendedUntil = now + contentionHoldMs;
 		}
-		if (before !== this.isContended(now)) {
-			this.touchAll();
+		if (wasContended !== this.isContended(now)) {
+			this.scheduleAllReplies();
 		}
 		let needed = waiting.length;
-		const over = this.usedSlots() - this.limit(now);
-		needed = Math.max(needed, over);
+		const excess = this.usedSlots() - this.limit(now);
+		needed = Math.max(needed, excess);
 		for (const holder of this.holders.values()) {
-			const recall = Math.min(holder.idleSlots, Math.max(needed, 0));
-			const keep = holder.idleSlots - recall;
-			needed -= recall;
-			if (recall > 0 && keep !== holder.maxIdleSlots) {
+			const recalled = Math.min(holder.idleSlots, Math.max(needed, 0));
+			const maxIdleSlots = holder.idleSlots - recalled;
+			needed -= recalled;
+			if (recalled > 0 && maxIdleSlots !== holder.maxIdleSlots) {
 				holder.replyDueAt = 0;
 			}
-			holder.maxIdleSlots = recall > 0 ? keep : Number.MAX_SAFE_INTEGER;
+			holder.maxIdleSlots = recalled > 0 ? maxIdleSlots : Number.MAX_SAFE_INTEGER;
 		}
 	}
 
-	/** One slot outside the limit for each class that waits here without any. */
+	/** Grants one slot outside the limit to each class that waits and has no such slot. */
 	private grantFloors(now: number): void {
-		if (this.closed || this.learner.limit(now) === 0) {
+		if (this.isUnavailable || this.adaptiveLimit.limit(now) === 0) {
 			return;
 		}
-		for (const cls of this.floors) {
-			const first = search.findLongestWaiting(this.holders.values(), cls);
-			if (first && now - first.waitingSince >= floorAfterMs && !this.floorBusy(cls)) {
-				this.grant(first, now, cls);
+		for (const cls of this.floorClasses) {
+			const waiting = queries.findLongestWaiting(this.holders.values(), cls);
+			if (waiting && now - waiting.waitingSince >= floorDelayMs && !this.isFloorInUse(cls)) {
+				this.grant(waiting, now, cls);
 			}
 		}
 	}
 
-	private floorBusy(cls: NameHash): boolean {
+	private isFloorInUse(cls: NameHash): boolean {
 		return [...this.holders.values()].some((holder) => holder.servesFloor(cls));
 	}
 
-	/** Cuts off the lowest work for an urgent request of a higher tier. */
-	private preemptFor(waiting: readonly WaitingRequest[], now: number): void {
-		const urgent = search.findPreemptionRequest(waiting);
-		if (!urgent || now - this.lastPreemptAt < preemptEveryMs) {
+	/** Preempts the lowest run if a request of a higher tier asks for preemption. */
+	private preemptForRequest(waiting: readonly WaitingRequest[], now: number): void {
+		const preemptor = queries.findPreemptionRequest(waiting);
+		if (!preemptor || now - this.lastPreemptAt < minPreemptionIntervalMs) {
 			return;
 		}
-		const victim = search.findLowestPreemptable(this.holders.values());
-		if (victim && victim.slot.tier > urgent.slotRequest.tier) {
+		const victim = queries.findLowestPreemptable(this.holders.values());
+		if (victim && victim.slot.tier > preemptor.slotRequest.tier) {
 			this.lastPreemptAt = now;
 			victim.holder.preemptTickets.add(victim.slot.ticket);
 			victim.holder.replyDueAt = 0;
 		}
 	}
 
-	private grant(waiting: WaitingRequest, now: number, floor?: NameHash): void {
-		const { holder, slotRequest: ticket } = waiting;
-		holder.grant(waiting, now, floor);
-		const isFloor = floor !== undefined;
-		this.record(eventKinds.grant, { member: holder.id, tier: ticket.tier, floor: isFloor });
+	private grant(waiting: WaitingRequest, now: number, floorClass?: NameHash): void {
+		const { holder, slotRequest } = waiting;
+		holder.grant(waiting, now, floorClass);
+		const isFloor = floorClass !== undefined;
+		this.record(eventKinds.grant, { member: holder.id, tier: slotRequest.tier, floor: isFloor });
 	}
 
 	private record(kind: EventKind, fields: EventFields): void {
 		this.opts.recordEvent(kind, { endpoint: this.opts.endpoint, ...fields });
 	}
 
-	private dropLostGrants(now: number): void {
+	private expireGrants(now: number): void {
 		for (const holder of this.holders.values()) {
 			holder.expireGrants(now);
 		}
@@ -257,13 +259,16 @@
 		return [...this.holders.values()].flatMap((holder) => holder.waiting);
 	}
 
-	private countRate(now: number): void {
-		const span = now - this.rateSince;
-		if (span >= rateWindowMs) {
-			const fresh = (this.completions / span) * 1000;
-			this.rate = this.rate === 0 ? fresh : this.rate + rateWeight * (fresh - this.rate);
+	private updateRate(now: number): void {
+		const elapsedMs = now - this.rateWindowStart;
+		if (elapsedMs >= rateWindowMs) {
+			const latest = (this.completions / elapsedMs) * 1000;
+			this.completionsPerS =
+				this.completionsPerS === 0
+					? latest
+					: this.completionsPerS + rateSmoothing * (latest - this.completionsPerS);
 			this.completions = 0;
-			this.rateSince = now;
+			this.rateWindowStart = now;
 		}
 	}
 
@@ -271,38 +276,38 @@
 		return now < this.contendedUntil;
 	}
 
-	/** Grants of another term of this owner are void. */
-	private forgetGrants(): void {
+	/** Discards the grants of an earlier epoch. */
+	private dropGrants(): void {
 		for (const holder of this.holders.values()) {
 			holder.dropGrants();
 		}
 	}
 
-	private touchAll(): void {
+	private scheduleAllReplies(): void {
 		for (const holder of this.holders.values()) {
 			holder.replyDueAt = 0;
 		}
 	}
 
-	private reply(holder: SlotHolder, now: number): OwnerReply {
+	private buildReply(holder: SlotHolder, now: number): OwnerReply {
 		return {
 			endpoint: this.opts.endpoint,
 			epoch: this.epoch,
 			reportSeq: holder.lastReportSeq,
-			grants: holder.pendingGrants.map(({ id, tier, floorClass: floor }) => ({ id, tier, floor })),
+			grants: holder.pendingGrants.map(({ id, tier, floorClass }) => ({ id, tier, floorClass })),
 			maxIdleSlots: holder.maxIdleSlots,
 			isContended: this.isContended(now),
 			preemptTickets: [...holder.preemptTickets],
-			limit: this.learner.limit(now),
+			limit: this.adaptiveLimit.limit(now),
 			usedSlots: this.usedSlots(),
-			completionsPerS: this.rate,
-			waitingByTier: search.countWaitingByTier(this.holders.values()),
-			lowestPreemptableTier: search.findLowestPreemptable(this.holders.values())?.slot.tier ?? 0,
-			isUnavailable: this.closed,
+			completionsPerS: this.completionsPerS,
+			waitingByTier: queries.countWaitingByTier(this.holders.values()),
+			lowestPreemptableTier: queries.findLowestPreemptable(this.holders.values())?.slot.tier ?? 0,
+			isUnavailable: this.isUnavailable,
 		};
 	}
 
-	private holder(id: string): SlotHolder {
+	private getOrCreateHolder(id: string): SlotHolder {
 		let holder = this.holders.get(id);
 		if (!holder) {
 			holder = new SlotHolder(id);
--- a/src/core/scheduling/types.ts
+++ b/src/core/scheduling/types.ts
@@ -1,33 +1,33 @@
 /**
- * Messages between entries and owners of endpoints. Both carry whole state, not changes: a lost,
- * doubled or reordered message does no harm, the next one says it all again.
+ * Messages between daemons that hold slots and the owners of endpoints. Each message carries the
+ * full state, so that lost, duplicated and reordered messages are harmless.
  * @module
  */
 
 /**
- * Names of classes and customers stand as 16-bit hashes in messages. Two customers that share one
- * share a fair share, too; the configuration's check refuses classes that do.
+ * 16-bit hash of the name of a class or customer. Customers whose hashes collide share one fair
+ * share; validation of the configuration refuses classes whose hashes collide.
  */
 export type NameHash = number;
 
-/** A waiting request, as an owner sees it. */
+/** A waiting request that asks an endpoint's owner for a slot. */
 export interface SlotRequest {
-	/** Number of the request on its daemon. */
+	/** Identifies the request on its daemon. */
 	ticket: number;
 	tier: number;
 	classHash: NameHash;
 	customerHash: NameHash;
-	/** Milliseconds until the first token is due, at sending. */
+	/** Time left until the first token is due, measured when the report is sent. */
 	slackMs: number;
-	/** The first-token target can no longer be met. */
+	/** The request can no longer meet its first-token target. */
 	isLate: boolean;
-	/** Milliseconds that it waits already. */
+	/** Time that the request has waited. */
 	waitedMs: number;
-	/** Asks that lower work be preempted on this endpoint. */
+	/** Asks the owner to preempt a run of a lower tier. */
 	requestsPreemption: boolean;
 }
 
-/** A request that runs on the endpoint. */
+/** A slot whose request runs on the endpoint. */
 export interface RunningSlot {
 	ticket: number;
 	tier: number;
@@ -37,71 +37,71 @@
 	isPreemptable: boolean;
 }
 
-/** What an entry saw of an endpoint since its last report. */
+/** Measurements of an endpoint by one daemon since its previous report. */
 export interface EndpointObservations {
 	completions: number;
 	failures: number;
-	/** Mean time between tokens; 0 when no token was seen. */
+	/** Mean time between tokens; 0 without a sample. */
 	interTokenMs: number;
-	/** Strictest target between tokens among the requests seen, in milliseconds. */
+	/** Strictest inter-token target among the sampled requests. */
 	interTokenTargetMs: number;
 }
 
-/** State of one entry on one endpoint, sent to the endpoint's owner. */
+/** State of one slot holder on one endpoint, sent to the endpoint's owner. */
 export interface HolderReport {
 	endpoint: string;
-	/** Grows with each report of this entry on this endpoint. */
+	/** Increases with each report of this holder on this endpoint. */
 	seq: number;
-	/** Owner's epoch that the entry knows; 0 for none. */
+	/** Latest owner epoch known to the holder; 0 for none. */
 	epoch: number;
-	/** Last grant that the entry has taken in. */
+	/** Latest grant that the holder has applied. */
 	lastGrantId: number;
 	running: RunningSlot[];
-	/** Slots held unused. */
+	/** Unused slots that the holder keeps. */
 	idleSlots: number;
-	/** The best waiting requests, and the first of each class. */
+	/** The waiting requests of highest priority, and the first of each class. */
 	slotRequests: SlotRequest[];
-	/** Waiting requests by tier. */
+	/** Number of waiting requests by tier. */
 	waitingByTier: [tier: number, count: number][];
 	observations: EndpointObservations;
-	/** Limit as last heard, for an owner that is new. */
+	/** Latest limit received from an owner, which a new owner inherits; 0 for none. */
 	knownLimit: number;
 }
 
-/** One slot given. */
+/** Permission to use one slot. */
 export interface Grant {
-	/** Grows by one with each grant of an epoch to one entry. */
+	/** Increases by one with each grant to the same holder within an epoch. */
 	id: number;
-	/** Work of this or a higher tier may use it. */
+	/** Only requests of this or a higher tier may use the slot. */
 	tier: number;
-	/** Class whose minimum this slot serves; it is outside the limit. */
+	/** Class whose floor the slot serves, outside the limit. */
 	floorClass?: NameHash;
 }
 
-/** State of an endpoint's owner towards one entry. */
+/** State of an endpoint's owner, sent to one slot holder. */
 export interface OwnerReply {
 	endpoint: string;
-	/** Names the owner's term; a higher one wins. */
+	/** Identifies the ownership period; the highest epoch wins. */
 	epoch: number;
-	/** Last report taken in. */
+	/** Latest report that the owner has applied. */
 	reportSeq: number;
-	/** Every grant that the entry has not confirmed. */
+	/** All grants that the holder has not confirmed. */
 	grants: Grant[];
-	/** The entry may keep this many unused slots. */
+	/** Maximum number of unused slots that the holder may keep. */
 	maxIdleSlots: number;
-	/** Slots that end are given back at once. */
+	/** Requests wait, so the holder returns each slot when its run ends. */
 	isContended: boolean;
-	/** Requests to cut off, by ticket. */
+	/** Tickets of the runs to preempt. */
 	preemptTickets: number[];
 	limit: number;
-	/** Slots in use of the limit. */
+	/** Slots in use within the limit. */
 	usedSlots: number;
-	/** Requests ended a second, over all entries. */
+	/** Completed requests per second over all holders. */
 	completionsPerS: number;
-	/** Waiting requests by tier, over all entries. */
+	/** Number of waiting requests by tier over all holders. */
 	waitingByTier: [tier: number, count: number][];
-	/** Lowest tier that runs and may be preempted; 0 for none. */
+	/** Lowest tier among the preemptable runs; 0 for none. */
 	lowestPreemptableTier: number;
-	/** The endpoint takes no work. */
+	/** The endpoint accepts no new work. */
 	isUnavailable: boolean;
 }
--- a/test/features/suspension.feature
+++ b/test/features/suspension.feature
@@ -1,14 +1,14 @@
-Feature: VMs that were suspended, and all VMs without power
+Feature: Suspended VMs and power loss
 
-	A VM may be suspended for seconds. Its steady clock does not count that time, while leases, deadlines and what others know run on.
+	The monotonic clock of a VM stands still while the VM is suspended; leases and deadlines go on.
 
-	Scenario: Suspensions are told from two clocks
-		Given a VM whose time of day was 1000 ms ahead of its steady clock
-		When its time of day gains 20 ms on the steady clock
+	Scenario: Suspensions are measured by the wall clock and the monotonic clock
+		Given a VM whose wall clock was 1000 ms ahead of its monotonic clock
+		When its wall clock gains 20 ms on the monotonic clock
 		Then it was suspended for 0 ms
-		When its time of day gains 4000 ms on the steady clock
+		When its wall clock gains 4000 ms on the monotonic clock
 		Then it was suspended for 4000 ms
-		When its time of day gains -4000 ms on the steady clock
+		When its wall clock gains -4000 ms on the monotonic clock
 		Then it was suspended for 4000 ms
 
 	Scenario: A holder that was suspended for longer than its lease does not act under it
@@ -21,7 +21,7 @@
 		When 15 seconds go by
 		Then one VM holds the duty
 
-	Scenario Outline: Whatever happens to VMs that are suspended now and then, with tokens <checked>
+	Scenario Outline: The invariants hold under random faults and suspensions, with tokens <checked>
 		Then after any 10 troubles and suspensions of a fleet of 5 VMs whose tokens are <checked> all promises were kept
 
 		Examples:
@@ -29,7 +29,7 @@
 			| checked   |
 			| unchecked |
 
-	Scenario: The duty goes on when all VMs lose power at the same moment
+	Scenario: The duty continues after all VMs lose power at the same time
 		Given 8 VMs that share a duty
 		When 12 seconds go by
 		And its token is remembered
@@ -39,30 +39,30 @@
 		And its token is higher than any before
 		And no window was reported with two different counts
 
-	Scenario: A registration is renewed right after a suspension
+	Scenario: A VM renews its registration right after a suspension
 		Given a VM that is registered and renews every 4000 ms
 		When it is suspended for 8000 ms
 		Then it renews within 600 ms
 
-	Scenario: What others said of the store is as old as the suspension
-		Given a VM that hears of a reader that the store answered just now
+	Scenario: The age of gossip about store readers includes the suspension
+		Given a VM that received gossip of a store reader with recent contact
 		When it is suspended for 4000 ms
-		Then it hears of no reader that the store answered lately
+		Then it knows no store reader with recent contact
 
-	Scenario: What was read from the store counts again once it is read anew
+	Scenario: After a suspension, data from the store is stale until it is read again
 		Given a VM that follows the store
 		When it wakes from a suspension
-		Then what it read does not count
+		Then its data from the store is stale
 		When the store answers
-		Then what it read counts
+		Then its data from the store is current
 
-	Scenario Outline: A request that was under way in a suspension is sent on with what its caller has left
+	Scenario Outline: A request in flight during a suspension is retried only within its remaining deadline
 		Given a request with 3000 ms that was sent to an engine
 		When its VM is suspended for <ms> ms
-		And the engine breaks it off
-		Then <becomes>
+		And the engine aborts its answer
+		Then <outcome>
 
 		Examples:
-			| ms   | becomes                                         |
-			| 1000 | it is sent on with 2000 ms                      |
-			| 4000 | it is sent to no other engine and its caller is told 504 |
+			| ms   | outcome                                               |
+			| 1000 | it is retried with 2000 ms                            |
+			| 4000 | it is sent to no other engine and its caller gets 504 |
--- a/test/steps/decisions.steps.ts
+++ b/test/steps/decisions.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about single decisions: the slot ledger and the limit learner, without processes.
+ * Steps for scheduling decisions of the slot ledger and the adaptive limit, in one process.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -16,9 +16,9 @@
 } from '../../src/core/scheduling/types.js';
 import type { FleetWorld } from './world.js';
 
-/** A new owner listens first; decisions are asked for after that. */
-const afterLearningMs = 1000;
-const quiet: EndpointObservations = {
+/** Time after the warm-up of a new owner, when it grants slots. */
+const afterWarmupMs = 1000;
+const noObservations: EndpointObservations = {
 	completions: 0,
 	failures: 0,
 	interTokenMs: 0,
@@ -26,53 +26,53 @@
 };
 
 function newLedger(slots: number): SlotLedger {
-	const limits = { start: slots, max: slots, learns: false };
+	const limits = { initial: slots, max: slots, isAdaptive: false };
 	return new SlotLedger({ endpoint: 'e1', limits, recordEvent: () => {}, epoch: 1, now: 0 });
 }
 
-function ticket(number: number, part: Partial<SlotRequest>): SlotRequest {
-	const rest = { slack: 1000, late: false, waited: 0, urgent: false };
-	return { ticket: number, tier: 2, classHash: 1, customerHash: 1, ...rest, ...part };
+function slotRequest(ticket: number, overrides: Partial<SlotRequest>): SlotRequest {
+	const defaults = { slackMs: 1000, isLate: false, waitedMs: 0, requestsPreemption: false };
+	return { ticket, tier: 2, classHash: 1, customerHash: 1, ...defaults, ...overrides };
 }
 
-function running(number: number, part: Partial<RunningSlot>): RunningSlot {
+function runningSlot(ticket: number, overrides: Partial<RunningSlot>): RunningSlot {
 	return {
-		ticket: number,
+		ticket,
 		tier: 2,
 		classHash: 1,
 		customerHash: 1,
 		isFloor: false,
 		isPreemptable: true,
-		...part,
+		...overrides,
 	};
 }
 
-function report(want: SlotRequest[], runs: RunningSlot[] = []): HolderReport {
-	const rest = { backlog: [], observed: quiet, limit: 0 };
+function report(slotRequests: SlotRequest[], running: RunningSlot[] = []): HolderReport {
+	const defaults = { waitingByTier: [], observations: noObservations, knownLimit: 0 };
 	return {
 		endpoint: 'e1',
 		seq: 1,
 		epoch: 0,
 		lastGrantId: 0,
-		running: runs,
+		running,
 		idleSlots: 0,
-		slotRequests: want,
-		...rest,
+		slotRequests,
+		...defaults,
 	};
 }
 
-function decide(world: FleetWorld, reports: Record<string, HolderReport>): void {
+function allocateSlots(world: FleetWorld, reports: Record<string, HolderReport>): void {
 	const ledger = world.seen.get('ledger') as SlotLedger;
-	for (const [entry, body] of Object.entries(reports)) {
-		ledger.applyReport(entry, body, afterLearningMs);
+	for (const [daemon, body] of Object.entries(reports)) {
+		ledger.applyReport(daemon, body, afterWarmupMs);
 	}
-	ledger.allocateSlots(afterLearningMs);
-	const replies = ledger.takeDueReplies(afterLearningMs).map(({ to, reply }) => [to, reply]);
+	ledger.allocateSlots(afterWarmupMs);
+	const replies = ledger.takeDueReplies(afterWarmupMs).map(({ to, reply }) => [to, reply]);
 	world.seen.set('replies', Object.fromEntries(replies));
 }
 
-function replyTo(world: FleetWorld, entry: string): OwnerReply {
-	const reply = (world.seen.get('replies') as Record<string, OwnerReply>)[entry];
+function replyTo(world: FleetWorld, daemon: string): OwnerReply {
+	const reply = (world.seen.get('replies') as Record<string, OwnerReply>)[daemon];
 	assert.ok(reply);
 	return reply;
 }
@@ -82,7 +82,7 @@
 });
 
 cucumber.Given(
-	'an owner with {int} slots that serves the minimum of {string}',
+	'an owner with {int} slots that serves the floor of {string}',
 	function (this: FleetWorld, slots: number, cls: string) {
 		const ledger = newLedger(slots);
 		ledger.setFloors([hashName(cls)]);
@@ -91,111 +91,118 @@
 );
 
 cucumber.When(
-	'entry {string} wants {int} slots for customer {string} and entry {string} {int} for customer {string}, all of tier {int}',
+	'daemon {string} requests {int} slots for customer {string} and daemon {string} {int} for customer {string}, all of tier {int}',
 	function (
 		this: FleetWorld,
 		a: string,
-		manyA: number,
+		countA: number,
 		customerA: string,
 		b: string,
-		manyB: number,
+		countB: number,
 		customerB: string,
 		tier: number,
 	) {
-		const wants = (many: number, customer: string) =>
-			Array.from({ length: many }, (_, at) =>
-				ticket(at, { tier, customerHash: hashName(customer) }),
+		const requests = (count: number, customer: string) =>
+			Array.from({ length: count }, (_, index) =>
+				slotRequest(index, { tier, customerHash: hashName(customer) }),
 			);
-		this.seen.set('entries', { [customerA]: a, [customerB]: b });
-		decide(this, { [a]: report(wants(manyA, customerA)), [b]: report(wants(manyB, customerB)) });
+		this.seen.set('daemons', { [customerA]: a, [customerB]: b });
+		allocateSlots(this, {
+			[a]: report(requests(countA, customerA)),
+			[b]: report(requests(countB, customerB)),
+		});
 	},
 );
 
 cucumber.Then(
 	'customer {string} has {int} slots',
 	function (this: FleetWorld, customer: string, slots: number) {
-		const entry = (this.seen.get('entries') as Record<string, string>)[customer] ?? '';
-		assert.equal(replyTo(this, entry).grants.length, slots);
+		const daemon = (this.seen.get('daemons') as Record<string, string>)[customer] ?? '';
+		assert.equal(replyTo(this, daemon).grants.length, slots);
 	},
 );
 
 cucumber.When(
-	'entry {string} wants {int} slots in tier {int} due in {int} ms and entry {string} {int} in tier {int} due in {int} ms',
+	'daemon {string} requests {int} slots in tier {int} due in {int} ms and daemon {string} {int} in tier {int} due in {int} ms',
 	function (
 		this: FleetWorld,
 		a: string,
-		manyA: number,
+		countA: number,
 		tierA: number,
 		dueA: number,
 		b: string,
-		manyB: number,
+		countB: number,
 		tierB: number,
 		dueB: number,
 	) {
-		const wants = (many: number, tier: number, slack: number) =>
-			Array.from({ length: many }, (_, at) => ticket(at, { tier, slackMs: slack }));
-		decide(this, {
-			[a]: report(wants(manyA, tierA, dueA)),
-			[b]: report(wants(manyB, tierB, dueB)),
+		const requests = (count: number, tier: number, slackMs: number) =>
+			Array.from({ length: count }, (_, index) => slotRequest(index, { tier, slackMs }));
+		allocateSlots(this, {
+			[a]: report(requests(countA, tierA, dueA)),
+			[b]: report(requests(countB, tierB, dueB)),
 		});
 	},
 );
 
 cucumber.Then(
-	'entry {string} has {int} grants',
-	function (this: FleetWorld, entry: string, grants: number) {
-		assert.equal(replyTo(this, entry).grants.length, grants);
+	'daemon {string} has {int} grants',
+	function (this: FleetWorld, daemon: string, grants: number) {
+		assert.equal(replyTo(this, daemon).grants.length, grants);
 	},
 );
 
 cucumber.When(
-	'entry {string} runs {int} requests of {string} and entry {string} waits {int} ms with {string}',
+	'daemon {string} runs {int} requests of {string} and daemon {string} waits {int} ms with {string}',
 	function (
 		this: FleetWorld,
 		a: string,
-		many: number,
+		count: number,
 		high: string,
 		b: string,
-		waited: number,
+		waitedMs: number,
 		low: string,
 	) {
-		const runs = Array.from({ length: many }, (_, at) =>
-			running(at, { classHash: hashName(high) }),
+		const runs = Array.from({ length: count }, (_, index) =>
+			runningSlot(index, { classHash: hashName(high) }),
 		);
-		const want = [ticket(1, { tier: 5, classHash: hashName(low), waitedMs: waited })];
-		decide(this, { [a]: report([], runs), [b]: report(want) });
+		const waiting = [slotRequest(1, { tier: 5, classHash: hashName(low), waitedMs })];
+		allocateSlots(this, { [a]: report([], runs), [b]: report(waiting) });
 	},
 );
 
 cucumber.Then(
-	'entry {string} has {int} grant outside the limit',
-	function (this: FleetWorld, entry: string, grants: number) {
-		const outside = replyTo(this, entry).grants.filter((grant) => grant.floorClass !== undefined);
+	'daemon {string} has {int} grant outside the limit',
+	function (this: FleetWorld, daemon: string, grants: number) {
+		const outside = replyTo(this, daemon).grants.filter((grant) => grant.floorClass !== undefined);
 		assert.equal(outside.length, grants);
 	},
 );
 
 cucumber.When(
-	'entry {string} runs {string} in tier {int} and as a minimum, and entry {string} is urgent in tier {int}',
+	'daemon {string} runs {string} in tier {int} and in a floor slot, and daemon {string} requests preemption in tier {int}',
 	function (this: FleetWorld, a: string, cls: string, low: number, b: string, high: number) {
-		const kind = { tier: low, cls: hashName(cls) };
-		const runs = [running(1, kind), running(2, kind), running(3, { ...kind, isFloor: true })];
-		const want = [ticket(1, { tier: high, requestsPreemption: true })];
-		decide(this, { [a]: report([], runs), [b]: report(want) });
+		const lowRun = { tier: low, classHash: hashName(cls) };
+		const runs = [
+			runningSlot(1, lowRun),
+			runningSlot(2, lowRun),
+			runningSlot(3, { ...lowRun, isFloor: true }),
+		];
+		const waiting = [slotRequest(1, { tier: high, requestsPreemption: true })];
+		allocateSlots(this, { [a]: report([], runs), [b]: report(waiting) });
 	},
 );
 
 cucumber.Then(
-	'entry {string} is asked to cut off {int} request that is not a minimum',
-	function (this: FleetWorld, entry: string, many: number) {
-		const { preemptTickets: preempt } = replyTo(this, entry);
-		assert.equal(preempt.length, many);
-		assert.ok(!preempt.includes(3));
+	'daemon {string} is asked to preempt {int} request outside the floor slot',
+	function (this: FleetWorld, daemon: string, count: number) {
+		const { preemptTickets } = replyTo(this, daemon);
+		assert.equal(preemptTickets.length, count);
+		assert.ok(!preemptTickets.includes(3));
 	},
 );
 
 interface Endpoint {
-	learner: AdaptiveLimit;
+	adaptiveLimit: AdaptiveLimit;
 	now: number;
 	targetMs: number;
 }
@@ -207,50 +214,50 @@
 cucumber.Given(
 	'an endpoint of {int} slots with a target of {int} ms',
 	function (this: FleetWorld, slots: number, targetMs: number) {
-		const learner = new AdaptiveLimit({ initial: slots, max: slots, isAdaptive: true });
-		this.seen.set('endpoint', { learner, now: 1000, targetMs });
+		const adaptiveLimit = new AdaptiveLimit({ initial: slots, max: slots, isAdaptive: true });
+		this.seen.set('endpoint', { adaptiveLimit, now: 1000, targetMs });
 	},
 );
 
 cucumber.When(
-	'tokens come every {int} ms for {int} seconds',
-	function (this: FleetWorld, gapMs: number, seconds: number) {
+	'tokens arrive every {int} ms for {int} seconds',
+	function (this: FleetWorld, interTokenMs: number, seconds: number) {
 		const endpoint = endpointOf(this);
 		for (let step = 0; step < seconds * 4; step++) {
 			endpoint.now += 250;
-			const { learner, now, targetMs } = endpoint;
-			learner.observe({ ...quiet, interTokenMs: gapMs, interTokenTargetMs: targetMs }, now);
-			learner.update(learner.limit(now), now);
+			const { adaptiveLimit, now, targetMs } = endpoint;
+			adaptiveLimit.observe({ ...noObservations, interTokenMs, interTokenTargetMs: targetMs }, now);
+			adaptiveLimit.update(adaptiveLimit.limit(now), now);
 		}
 	},
 );
 
 cucumber.When('it fails {int} times', function (this: FleetWorld, failures: number) {
-	const { learner, now } = endpointOf(this);
-	learner.observe({ ...quiet, failures }, now);
+	const { adaptiveLimit, now } = endpointOf(this);
+	adaptiveLimit.observe({ ...noObservations, failures }, now);
 });
 
 cucumber.When('one request completes', function (this: FleetWorld) {
 	const endpoint = endpointOf(this);
 	endpoint.now += 600;
-	endpoint.learner.observe({ ...quiet, completions: 1 }, endpoint.now);
+	endpoint.adaptiveLimit.observe({ ...noObservations, completions: 1 }, endpoint.now);
 });
 
 cucumber.Then('its limit is below {int}', function (this: FleetWorld, bound: number) {
-	const { learner, now } = endpointOf(this);
-	assert.ok(learner.limit(now) < bound, String(learner.limit(now)));
+	const { adaptiveLimit, now } = endpointOf(this);
+	assert.ok(adaptiveLimit.limit(now) < bound, String(adaptiveLimit.limit(now)));
 });
 
 cucumber.Then('its limit is {int} again', function (this: FleetWorld, limit: number) {
-	const { learner, now } = endpointOf(this);
-	assert.equal(learner.limit(now), limit);
+	const { adaptiveLimit, now } = endpointOf(this);
+	assert.equal(adaptiveLimit.limit(now), limit);
 });
 
 cucumber.Then(
 	'its limit is {int} at once and {int} after {int} ms',
 	function (this: FleetWorld, atOnce: number, later: number, ms: number) {
-		const { learner, now } = endpointOf(this);
-		assert.equal(learner.limit(now), atOnce);
-		assert.equal(learner.limit(now + ms), later);
+		const { adaptiveLimit, now } = endpointOf(this);
+		assert.equal(adaptiveLimit.limit(now), atOnce);
+		assert.equal(adaptiveLimit.limit(now + ms), later);
 	},
 );
--- a/test/steps/orders.steps.ts
+++ b/test/steps/orders.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about orders, on a fleet and on fakes at the ports.
+ * Steps for orders to endpoints, with a real fleet or with a fake clock and store.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -10,7 +10,7 @@
 import { FakeClock, FakeKv } from '../fuzz/fakes.js';
 import type { FleetWorld } from './world.js';
 
-const silent = { debug: () => {}, info: () => {}, warn: () => {}, error: () => {} };
+const silentLog = { debug: () => {}, info: () => {}, warn: () => {}, error: () => {} };
 const request = {
 	endpoint: 'e1',
 	url: 'http://127.0.0.1:1',
@@ -19,19 +19,19 @@
 	argument: '',
 };
 
-interface Desk {
-	giver: OrderSender;
+interface SenderFixture {
+	sender: OrderSender;
 	sent: { order: EndpointOrder; at: number }[];
 }
 
-/** `pauseMs` passes between the lease and the order. */
-function desk(clock: FakeClock, kv: FakeKv, vanish: boolean, pauseMs = 0): Desk {
-	const sent: Desk['sent'] = [];
-	const order = async (_url: string, given: EndpointOrder) => {
-		if (vanish) {
-			throw new Error('vanished');
+/** `pauseMs` elapses while each lease is granted; with `shouldCrash`, sending an order throws. */
+function newSender(clock: FakeClock, kv: FakeKv, shouldCrash: boolean, pauseMs = 0): SenderFixture {
+	const sent: SenderFixture['sent'] = [];
+	const order = async (_url: string, sentOrder: EndpointOrder) => {
+		if (shouldCrash) {
+			throw new Error('crashed');
 		}
-		sent.push({ order: given, at: clock.now });
+		sent.push({ order: sentOrder, at: clock.now });
 		return 200;
 	};
 	const grantLease = kv.grantLease.bind(kv);
@@ -43,44 +43,44 @@
 	const sleep = async (ms: number) => {
 		clock.now += ms;
 	};
-	const giver = new OrderSender({
+	const sender = new OrderSender({
 		kv,
 		clock,
 		random: new SystemRandom(),
-		log: silent,
+		log: silentLog,
 		endpoints: { order },
 		vm: 'vm-1',
 		sleep,
 	});
-	return { giver, sent };
+	return { sender, sent };
 }
 
 cucumber.When(
-	'a holder vanishes with an order to an endpoint that does not check',
+	'a holder crashes during an order to an endpoint without token checks',
 	async function (this: FleetWorld) {
 		const clock = new FakeClock();
 		const kv = new FakeKv();
-		await assert.rejects(desk(clock, kv, true).giver.send(request), /vanished/);
+		await assert.rejects(newSender(clock, kv, true).sender.send(request), /crashed/);
 		kv.drop('slategauge/orders/endpoint/e1');
-		const next = desk(clock, kv, false);
-		const from = clock.now;
-		await next.giver.send(request);
-		this.seen.set('waited', (next.sent[0]?.at ?? 0) - from);
+		const next = newSender(clock, kv, false);
+		const startedAt = clock.now;
+		await next.sender.send(request);
+		this.seen.set('delayMs', (next.sent[0]?.at ?? 0) - startedAt);
 	},
 );
 
 cucumber.Then(
-	'the next holder sends its order only after the lease and a margin',
+	'the next holder sends its order only after the duration of a lease',
 	function (this: FleetWorld) {
-		assert.ok(Number(this.seen.get('waited')) > orderLeaseMs);
+		assert.ok(Number(this.seen.get('delayMs')) > orderLeaseMs);
 	},
 );
 
 cucumber.When(
 	'a holder is paused for {int} ms between its lease and its order',
 	async function (this: FleetWorld, pauseMs: number) {
-		const paused = desk(new FakeClock(), new FakeKv(), false, pauseMs);
-		this.seen.set('error', await paused.giver.send(request).catch((err: unknown) => err));
+		const paused = newSender(new FakeClock(), new FakeKv(), false, pauseMs);
+		this.seen.set('error', await paused.sender.send(request).catch((err: unknown) => err));
 		this.seen.set('sent', paused.sent);
 	},
 );
@@ -91,7 +91,7 @@
 });
 
 cucumber.Then(
-	'an older order to engine {int} is refused',
+	'an order with an outdated fencing token to engine {int} is refused',
 	async function (this: FleetWorld, engine: number) {
 		const port = this.running.engines[engine - 1]?.port;
 		const res = await fetch(`http://127.0.0.1:${port}/orders`, {
--- a/test/steps/suspension.steps.ts
+++ b/test/steps/suspension.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about VMs whose steady clock stood still while they were suspended.
+ * Steps for VMs whose monotonic clock stands still while they are suspended.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -37,27 +37,27 @@
 import type { FleetWorld } from './world.js';
 
 interface TwoClocks {
-	steadyMs: number;
+	monotonicMs: number;
 	aheadMs: number;
 	meter: SuspensionMeter;
 }
 
 cucumber.Given(
-	'a VM whose time of day was {int} ms ahead of its steady clock',
+	'a VM whose wall clock was {int} ms ahead of its monotonic clock',
 	function (this: FleetWorld, aheadMs: number) {
 		const meter = new SuspensionMeter();
 		meter.sample(0, aheadMs);
-		this.seen.set('clocks', { steadyMs: 0, aheadMs, meter });
+		this.seen.set('clocks', { monotonicMs: 0, aheadMs, meter });
 	},
 );
 
 cucumber.When(
-	'its time of day gains {int} ms on the steady clock',
+	'its wall clock gains {int} ms on the monotonic clock',
 	function (this: FleetWorld, ms: number) {
 		const clocks = seen<TwoClocks>(this, 'clocks');
-		clocks.steadyMs += 10;
+		clocks.monotonicMs += 10;
 		clocks.aheadMs += ms;
-		clocks.meter.sample(clocks.steadyMs, clocks.steadyMs + clocks.aheadMs);
+		clocks.meter.sample(clocks.monotonicMs, clocks.monotonicMs + clocks.aheadMs);
 	},
 );
 
@@ -69,14 +69,14 @@
 	clockOf(this).suspendedMs += Number(ms);
 });
 
-/** Sleeps of the VM in turn, which end when the scenario says so. */
+/** Pending sleeps in order of their start; steps end them. */
 interface Sleeps {
 	waiting: { ms: number; end: () => void }[];
 }
 
 cucumber.Given(
 	'a VM that is registered and renews every {int} ms',
-	async function (this: FleetWorld, everyMs: number) {
+	async function (this: FleetWorld, intervalMs: number) {
 		const sleeps: Sleeps = { waiting: [] };
 		const renewals = { count: 0 };
 		const store = {
@@ -95,17 +95,17 @@
 			prefix: 'vms/',
 			self: { name: 'vm-1', domain: 'z', cores: 1, address: { host: '10.0.0.1', port: 1 } },
 			sleep: (ms) => new Promise((end) => sleeps.waiting.push({ ms, end })),
-			renewalIntervalMs: () => everyMs,
+			renewalIntervalMs: () => intervalMs,
 			isStoreUnavailable: () => false,
 			onStoreUnreachable() {},
 		});
 		void registry.run();
 		this.seen.set('sleeps', sleeps);
 		this.seen.set('renewals', renewals);
-		// The pause before the second read of the other VMs.
-		await settled();
+		// Ends the pause before the second read of the registered VMs.
+		await flushTasks();
 		sleeps.waiting.shift()?.end();
-		await settled();
+		await flushTasks();
 	},
 );
 
@@ -115,12 +115,12 @@
 	assert.ok(sleep && sleep.ms <= ms);
 	clockOf(this).now += sleep.ms;
 	sleep.end();
-	await settled();
+	await flushTasks();
 	assert.equal(seen<{ count: number }>(this, 'renewals').count, 1);
 });
 
 cucumber.Given(
-	'a VM that hears of a reader that the store answered just now',
+	'a VM that received gossip of a store reader with recent contact',
 	function (this: FleetWorld) {
 		const fleet = newFleetView(this);
 		const reader = { address: '10.0.0.2:1', contactAgeMs: 0, revision: 1, digest: 1, dutyToken: 0 };
@@ -130,7 +130,7 @@
 	},
 );
 
-cucumber.Then('it hears of no reader that the store answered lately', function (this: FleetWorld) {
+cucumber.Then('it knows no store reader with recent contact', function (this: FleetWorld) {
 	assert.equal(seen<FleetView>(this, 'fleet').countStoreReaders(1500), 0);
 });
 
@@ -158,9 +158,9 @@
 		backOff: async () => {},
 	});
 	void follower.follow();
-	await settled();
+	await flushTasks();
 	answers.shift()?.();
-	await settled();
+	await flushTasks();
 	assert.equal(follower.isReachable, true);
 	this.seen.set('follower', follower);
 	this.seen.set('answers', answers);
@@ -168,25 +168,25 @@
 
 cucumber.When('it wakes from a suspension', async function (this: FleetWorld) {
 	seen<PrefixFollower>(this, 'follower').invalidate();
-	await settled();
+	await flushTasks();
 });
 
-cucumber.Then('what it read does not count', function (this: FleetWorld) {
+cucumber.Then('its data from the store is stale', function (this: FleetWorld) {
 	assert.equal(seen<PrefixFollower>(this, 'follower').isReachable, false);
 });
 
 cucumber.When('the store answers', async function (this: FleetWorld) {
 	seen<(() => void)[]>(this, 'answers').shift()?.();
-	await settled();
+	await flushTasks();
 });
 
-cucumber.Then('what it read counts', function (this: FleetWorld) {
+cucumber.Then('its data from the store is current', function (this: FleetWorld) {
 	const follower = seen<PrefixFollower>(this, 'follower');
 	assert.equal(follower.isReachable, true);
 	follower.stop();
 });
 
-interface UnderWay {
+interface RequestInFlight {
 	calls: EngineCall[];
 	listeners: AnswerListener[];
 	statuses: number[];
@@ -196,7 +196,7 @@
 	'a request with {int} ms that was sent to an engine',
 	function (this: FleetWorld, deadlineMs: number) {
 		const clock = clockOf(this);
-		const underWay: UnderWay = { calls: [], listeners: [], statuses: [] };
+		const inFlight: RequestInFlight = { calls: [], listeners: [], statuses: [] };
 		const req: CallerRequest = {
 			method: 'GET',
 			target: '/',
@@ -219,30 +219,30 @@
 			configurationVersion: 1,
 		};
 		const request = new RelayedRequest(
-			contextOf(this, underWay),
+			contextOf(this, inFlight),
 			terms,
-			response(underWay),
+			response(inFlight),
 			() => {},
 		);
 		request.start();
-		underWay.listeners[0]?.onSent();
-		this.seen.set('under way', underWay);
+		inFlight.listeners[0]?.onSent();
+		this.seen.set('in flight', inFlight);
 	},
 );
 
-function contextOf(world: FleetWorld, underWay: UnderWay): RelayContext {
+function contextOf(world: FleetWorld, inFlight: RequestInFlight): RelayContext {
 	const clock = clockOf(world);
 	const engines = ['a', 'b'].map((id) => new Engine(entry(id)));
 	const isPortClosed = async () => false;
 	const work = { engine: 0, running: 0, promptTokens: 0 };
-	const figures = {
+	const estimates = {
 		promptTokens: 0,
 		readingMs: 0,
 		waitMs: 0,
 		readMsPerToken: 0,
 		pace: nominalPace,
 	};
-	const tokens = { ...figures, cachedTokens: 0, copiedTokens: 0, work, reason: '' };
+	const tokens = { ...estimates, cachedTokens: 0, copiedTokens: 0, work, reason: '' };
 	const retries = { ratio: 1, windowMs: 10_000, extra: 10 };
 	return {
 		clock,
@@ -256,8 +256,8 @@
 		},
 		transport: {
 			send(call: EngineCall, listener: AnswerListener) {
-				underWay.calls.push(call);
-				underWay.listeners.push(listener);
+				inFlight.calls.push(call);
+				inFlight.listeners.push(listener);
 				return { pause() {}, resume() {}, abort() {} };
 			},
 		},
@@ -272,7 +272,7 @@
 	} as unknown as RelayContext;
 }
 
-function response({ statuses }: UnderWay): CallerResponse {
+function response({ statuses }: RequestInFlight): CallerResponse {
 	const head = (status: number) => void statuses.push(status);
 	return {
 		writeHead: head,
@@ -284,25 +284,25 @@
 	};
 }
 
-cucumber.When('the engine breaks it off', function (this: FleetWorld) {
-	seen<UnderWay>(this, 'under way').listeners[0]?.onError('other side closed', false);
+cucumber.When('the engine aborts its answer', function (this: FleetWorld) {
+	seen<RequestInFlight>(this, 'in flight').listeners[0]?.onError('other side closed', false);
 });
 
-cucumber.Then('it is sent on with {int} ms', function (this: FleetWorld, ms: number) {
-	const { calls, listeners } = seen<UnderWay>(this, 'under way');
+cucumber.Then('it is retried with {int} ms', function (this: FleetWorld, ms: number) {
+	const { calls, listeners } = seen<RequestInFlight>(this, 'in flight');
 	assert.equal(calls[1]?.deadlineMs, ms);
 	listeners[1]?.onError('the scenario ends', false);
 });
 
 cucumber.Then(
-	'it is sent to no other engine and its caller is told {int}',
+	'it is sent to no other engine and its caller gets {int}',
 	function (this: FleetWorld, status: number) {
-		const { calls, statuses } = seen<UnderWay>(this, 'under way');
+		const { calls, statuses } = seen<RequestInFlight>(this, 'in flight');
 		assert.equal(calls.length, 1);
 		assert.deepEqual(statuses, [status]);
 	},
 );
 
-function settled(): Promise<void> {
+function flushTasks(): Promise<void> {
 	return new Promise((done) => setImmediate(done));
 }
