--- a/src/core/claims/claims.ts
+++ b/src/core/claims/claims.ts
@@ -41,7 +41,7 @@
 	async claim(customer: string, key: string, record: ClaimRecord): Promise<ClaimResult> {
 		const path = claimKey(customer, key);
 		try {
-			const swap = await this.kv.swap(path, 0, JSON.stringify(record));
+			const swap = await this.kv.compareAndSwap(path, 0, JSON.stringify(record));
 			if (swap.swapped) {
 				return { result: claimResults.taken };
 			}
--- a/src/core/configuration/writer.ts
+++ b/src/core/configuration/writer.ts
@@ -52,7 +52,7 @@
 
 	private async swap(rev: number, next: VersionedConfiguration): Promise<VersionedConfiguration> {
 		try {
-			const swap = await this.opts.kv.swap(configurationKey, rev, JSON.stringify(next));
+			const swap = await this.opts.kv.compareAndSwap(configurationKey, rev, JSON.stringify(next));
 			if (swap.swapped) {
 				return next;
 			}
--- a/src/core/definitions.ts
+++ b/src/core/definitions.ts
@@ -52,22 +52,22 @@
 }
 
 /** Answer to a compare-and-swap. */
-export type KvSwap = { swapped: true; rev: number } | { swapped: false; current?: KvEntry };
+export type KvSwapResult = { swapped: true; rev: number } | { swapped: false; current?: KvEntry };
 
 /** The platform's key-value service. Every method rejects with `KvError` when it is down. */
 export interface KvStore {
 	get(key: string): Promise<KvEntry | undefined>;
 	/** Writes only if the key still has revision `rev`; 0 for "must be absent". */
-	swap(key: string, rev: number, value: string, leaseId?: string): Promise<KvSwap>;
+	compareAndSwap(key: string, rev: number, value: string, leaseId?: string): Promise<KvSwapResult>;
 	/** Resolves when the key has a revision above `rev`, or with the same entry after the wait. */
 	watch(key: string, rev: number, waitMs: number): Promise<KvEntry | undefined>;
 	/** Makes a lease and returns its id. */
 	grantLease(ttlMs: number): Promise<string>;
 	/** Renews; false when the lease has lapsed. */
 	renewLease(id: string): Promise<boolean>;
-	endLease(id: string): Promise<void>;
+	revokeLease(id: string): Promise<void>;
 	/** Calls made since the start, waiting watches counted. */
-	readonly calls: number;
+	readonly callCount: number;
 }
 
 /** A call to the key-value service that brought no answer: its effect is not known. */
@@ -80,7 +80,7 @@
 	callersPort: number;
 	controlPort: number;
 	domain: string;
-	leaving: boolean;
+	isLeaving: boolean;
 }
 
 /** The platform's VM list; it lags. */
@@ -89,13 +89,13 @@
 }
 
 /** Answers of the weight store to a question for weights. */
-export const weightAnswers = { present: 'present', absent: 'absent', busy: 'busy' } as const;
-export type WeightAnswer = (typeof weightAnswers)[keyof typeof weightAnswers];
+export const weightLookupResults = { present: 'present', absent: 'absent', busy: 'busy' } as const;
+export type WeightLookupResult = (typeof weightLookupResults)[keyof typeof weightLookupResults];
 
 /** The platform's weight store; rate-limited. */
 export interface WeightStore {
 	/** Whether it has weights of this name. */
-	find(name: string): Promise<WeightAnswer>;
+	lookup(name: string): Promise<WeightLookupResult>;
 }
 
 /** How a call to an endpoint failed. */
@@ -135,13 +135,13 @@
 
 /** Receives an answer. Exactly one of `end` and `fail` is called last. */
 export interface AnswerSink {
-	head(status: number, headers: Record<string, string>): void;
+	onHead(status: number, headers: Record<string, string>): void;
 	/** Whole events of a streamed answer. */
-	events(events: StreamEvent[]): void;
+	onEvents(events: StreamEvent[]): void;
 	/** Bytes of any other answer. */
-	bytes(chunk: Uint8Array): void;
-	end(): void;
-	fail(failure: CallFailure, detail: string): void;
+	onBytes(chunk: Uint8Array): void;
+	onEnd(): void;
+	onError(failure: CallFailure, detail: string): void;
 }
 
 /** A call on its way. */
@@ -157,13 +157,13 @@
 export interface LoadReport {
 	running: number;
 	waiting: number;
-	leaving: boolean;
+	isDraining: boolean;
 }
 
 /** Endpoints. */
 export interface EndpointClient {
 	open(call: EndpointCall, sink: AnswerSink): RunningCall;
-	load(url: string): Promise<LoadReport>;
+	fetchLoad(url: string): Promise<LoadReport>;
 	/** Gives an order; resolves with the HTTP status. */
 	order(url: string, order: EndpointOrder, timeoutMs: number): Promise<number>;
 	close(): Promise<void>;
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -101,7 +101,7 @@
 
 	/** Adds members from the platform's list, which may be outdated and does not override gossip. */
 	addCandidates(vms: readonly VmEntry[]): void {
-		this.listedCount = vms.filter((vm) => !vm.leaving).length;
+		this.listedCount = vms.filter((vm) => !vm.isLeaving).length;
 		for (const vm of vms) {
 			const known = this.members.get(vm.id);
 			const hasMoved = known && (known.port !== vm.controlPort || known.address !== vm.address);
--- a/src/core/orders/order-sender.ts
+++ b/src/core/orders/order-sender.ts
@@ -13,7 +13,7 @@
 	Random,
 	WeightStore,
 } from '../definitions.js';
-import { KvError, weightAnswers } from '../definitions.js';
+import { KvError, weightLookupResults } from '../definitions.js';
 import * as errors from '../errors/index.js';
 
 /** Duration of an order's lease. */
@@ -92,11 +92,11 @@
 
 	/** Refuses weights that are missing; runs under the fleet-wide lease, so queries don't overlap. */
 	private async checkWeights(name: string): Promise<void> {
-		const answer = await this.opts.weights?.find(name);
-		if (answer === weightAnswers.absent) {
+		const answer = await this.opts.weights?.lookup(name);
+		if (answer === weightLookupResults.absent) {
 			throw new errors.UserError(errors.data.NoSuchWeights, [name]);
 		}
-		if (answer === weightAnswers.busy) {
+		if (answer === weightLookupResults.busy) {
 			throw new errors.UserError(errors.data.WeightStoreBusy);
 		}
 	}
@@ -115,12 +115,12 @@
 			leaseStartedAt = this.opts.clock.sinceBoot();
 			await this.renew(lease);
 		}
-		const started = await this.opts.kv.swap(doneKey, marker?.rev ?? 0, lease.leaseId);
+		const started = await this.opts.kv.compareAndSwap(doneKey, marker?.rev ?? 0, lease.leaseId);
 		if (!started.swapped) {
 			throw new errors.UserError(errors.data.OrderInProgress, [request.endpoint, 'another VM']);
 		}
 		const token = await this.sendUnderLease(request, lease, leaseStartedAt);
-		await this.opts.kv.swap(doneKey, started.rev, 'done');
+		await this.opts.kv.compareAndSwap(doneKey, started.rev, 'done');
 		return token;
 	}
 
@@ -161,7 +161,7 @@
 		const leaseId = await kv.grantLease(orderLeaseMs);
 		const record: LeaseRecord = { operation: random.hex(12), vm };
 		try {
-			const swap = await kv.swap(key, 0, JSON.stringify(record), leaseId);
+			const swap = await kv.compareAndSwap(key, 0, JSON.stringify(record), leaseId);
 			if (swap.swapped) {
 				return { key, leaseId, token: swap.rev };
 			}
@@ -184,14 +184,14 @@
 		if (entry && holder?.operation === record.operation) {
 			return { key, leaseId, token: entry.rev };
 		}
-		await this.opts.kv.endLease(leaseId);
+		await this.opts.kv.revokeLease(leaseId);
 		throw new errors.UserError(errors.data.OrderInProgress, [key, holder?.vm ?? 'another VM']);
 	}
 
 	/** Ends the leases; one that can't be ended expires by itself. */
 	private async release(leases: readonly HeldLease[]): Promise<void> {
 		for (const { leaseId } of leases) {
-			await this.opts.kv.endLease(leaseId).catch(() => {});
+			await this.opts.kv.revokeLease(leaseId).catch(() => {});
 		}
 	}
 }
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -33,7 +33,7 @@
 	datagramsSent: number;
 	datagramsReceived: number;
 	/** Datagrams that were not signed by a peer or could not be read. */
-	refused: number;
+	datagramsRejected: number;
 }
 
 /** Carries messages between daemons; may lose, double and reorder them. */
--- a/src/core/requests/run.ts
+++ b/src/core/requests/active-request.ts
@@ -21,9 +21,9 @@
 import { replayAnswer } from './answer-store.js';
 import { AnswerStream } from './answer-stream.js';
 import type { CallerSink, CallTemplate } from './definitions.js';
-import { Pace } from './pace.js';
 import { RequestTimeline } from './request-timeline.js';
 import type { RetryBudget } from './retry-budget.js';
+import { TokenTiming } from './token-timing.js';
 import type { Request } from './types.js';
 import { outcomes } from './types.js';
 
@@ -37,30 +37,30 @@
 const refusals = new Set([429, 503]);
 
 /** What a run asks of its daemon. */
-export interface RunHost {
+export interface ActiveRequestHost {
 	readonly clock: Clock;
 	readonly endpoints: EndpointClient;
 	readonly claims: ClaimStore;
-	readonly retries: RetryBudget;
+	readonly retryBudget: RetryBudget;
 	readonly timeline: Timeline;
 	readonly vm: string;
 	readonly stallMs: number;
 	/** Base URL of an endpoint, undefined when it must not be given work. */
 	dispatchUrl(endpoint: string): string | undefined;
 	/** The run wants a slot again. */
-	requeue(run: RequestRun): void;
+	requeue(run: ActiveRequest): void;
 	/** The run gave its slot back. */
-	released(run: RequestRun, slot: Slot, result: RunResult): void;
-	observed(run: RequestRun, slot: Slot, gapMs: number): void;
+	releaseSlot(run: ActiveRequest, slot: Slot, result: RunResult): void;
+	recordInterTokenLatency(run: ActiveRequest, slot: Slot, gapMs: number): void;
 	/** The run has its outcome. */
-	ended(run: RequestRun, outcome: string, tokens: number): void;
+	finish(run: ActiveRequest, outcome: string, tokens: number): void;
 	/** Seconds after which a caller should come back. */
 	retryAfterS(req: Request): number;
 	/** Answer of the attempt that holds a claim; undefined when it cannot be reached. */
-	attach(holder: ClaimRecord): Promise<StoredAnswer | undefined>;
+	fetchAnswer(holder: ClaimRecord): Promise<StoredAnswer | undefined>;
 }
 
-export class RequestRun implements AnswerSink {
+export class ActiveRequest implements AnswerSink {
 	private slot?: Slot;
 	private call?: RunningCall;
 	private attempts = 0;
@@ -74,34 +74,34 @@
 	private bytesForwarded = false;
 	private readonly stream: AnswerStream;
 	private readonly timeline: RequestTimeline;
-	private pace = new Pace(0);
+	private pace = new TokenTiming(0);
 
 	constructor(
 		readonly req: Request,
 		private readonly template: CallTemplate,
 		private readonly sink: CallerSink,
-		private readonly host: RunHost,
+		private readonly host: ActiveRequestHost,
 		private readonly recording?: RecordingSink,
 	) {
 		this.stream = new AnswerStream(req);
 		this.timeline = new RequestTimeline(host.timeline, req);
 	}
 
-	get isOver(): boolean {
+	get hasEnded(): boolean {
 		return this.over;
 	}
 
 	/** Tokens given to the caller. */
-	get tokens(): number {
+	get forwardedTokens(): number {
 		return this.stream.totalTokens;
 	}
 
-	get running(): Slot | undefined {
+	get currentSlot(): Slot | undefined {
 		return this.slot;
 	}
 
 	/** May be cut off and resumed later without loss. */
-	get preemptable(): boolean {
+	get isPreemptable(): boolean {
 		return this.req.repeatable && this.template.streamed && this.stream.isResumable;
 	}
 
@@ -109,8 +109,8 @@
 	async start(slot: Slot): Promise<void> {
 		this.slot = slot;
 		this.attempts++;
-		if (this.req.key !== undefined && !this.req.repeatable) {
-			const claimed = await this.claim(this.req.key);
+		if (this.req.idempotencyKey !== undefined && !this.req.repeatable) {
+			const claimed = await this.claim(this.req.idempotencyKey);
 			if (!claimed || this.over) {
 				return;
 			}
@@ -119,7 +119,7 @@
 	}
 
 	/** The caller left. What must run once goes on, for a second arrival with its key. */
-	callerLeft(): void {
+	handleDisconnect(): void {
 		if (this.over) {
 			return;
 		}
@@ -131,11 +131,11 @@
 		this.recording?.abandon();
 		this.call?.cancel();
 		this.release(false, true);
-		this.host.ended(this, 'caller-left', this.stream.totalTokens);
+		this.host.finish(this, 'caller-left', this.stream.totalTokens);
 	}
 
 	/** Given up while it waits; the final answer goes out at once. */
-	giveUp(data: errors.ErrorData): void {
+	shed(data: errors.ErrorData): void {
 		if (this.over || this.slot) {
 			return;
 		}
@@ -146,7 +146,7 @@
 
 	/** Cut off for work of a higher tier; waits again and resumes. */
 	preempt(): boolean {
-		if (!this.slot || this.over || !this.call || !this.preemptable) {
+		if (!this.slot || this.over || !this.call || !this.isPreemptable) {
 			return false;
 		}
 		this.call.cancel();
@@ -156,7 +156,7 @@
 		return true;
 	}
 
-	head(status: number, headers: Record<string, string>): void {
+	onHead(status: number, headers: Record<string, string>): void {
 		this.status = status;
 		if (refusals.has(status) && this.template.streamed && this.req.repeatable) {
 			this.call?.cancel();
@@ -170,33 +170,33 @@
 		}
 	}
 
-	events(events: StreamEvent[]): void {
-		const ready = this.stream.take(events);
+	onEvents(events: StreamEvent[]): void {
+		const ready = this.stream.process(events);
 		if (ready.length === 0) {
 			return;
 		}
 		this.noteTokens();
-		if (!this.sink.events(ready)) {
+		if (!this.sink.writeEvents(ready)) {
 			this.call?.pause();
 		}
 	}
 
-	bytes(chunk: Uint8Array): void {
+	onBytes(chunk: Uint8Array): void {
 		this.bytesForwarded = true;
-		if (!this.sink.bytes(chunk)) {
+		if (!this.sink.writeBytes(chunk)) {
 			this.call?.pause();
 		}
 	}
 
-	end(): void {
+	onEnd(): void {
 		const whole = !this.template.streamed || this.stream.isDone || this.status >= 400;
 		if (!whole) {
 			this.failed(callFailures.broken, 'the stream ended early');
 			return;
 		}
-		const rest = this.stream.takeRest();
+		const rest = this.stream.flush();
 		if (rest.length > 0) {
-			this.sink.events(rest);
+			this.sink.writeEvents(rest);
 		}
 		this.over = true;
 		this.release(false, false);
@@ -204,7 +204,7 @@
 		this.recordEnd(outcomes.complete);
 	}
 
-	fail(failure: CallFailure, detail: string): void {
+	onError(failure: CallFailure, detail: string): void {
 		this.failed(failure, detail);
 	}
 
@@ -239,21 +239,21 @@
 	}
 
 	private resetAttempt(): void {
-		this.stream.restart();
-		this.pace = new Pace(this.host.clock.monotonic());
+		this.stream.beginAttempt();
+		this.pace = new TokenTiming(this.host.clock.monotonic());
 		this.mayHaveRunBefore = this.mayHaveRun;
 		this.mayHaveRun = true;
 	}
 
 	private noteTokens(): void {
 		const now = this.host.clock.monotonic();
-		if (this.pace.note(this.stream.runTokens, now)) {
+		if (this.pace.recordTokens(this.stream.attemptTokens, now)) {
 			const value = Math.round(now - this.req.arrivedAt);
 			this.timeline.record(eventKinds.requestFirstToken, { endpoint: this.slot?.endpoint, value });
 		}
-		const gapMs = this.pace.takeGapMs(this.stream.runTokens, now);
+		const gapMs = this.pace.sampleInterTokenMs(this.stream.attemptTokens, now);
 		if (gapMs !== undefined && this.slot) {
-			this.host.observed(this, this.slot, gapMs);
+			this.host.recordInterTokenLatency(this, this.slot, gapMs);
 		}
 	}
 
@@ -280,7 +280,7 @@
 	/** Another attempt ran or runs: its answer is this caller's, too, if it can be reached. */
 	private async attach(holder: ClaimRecord): Promise<void> {
 		this.mayHaveRun = true;
-		const answer = await this.host.attach(holder);
+		const answer = await this.host.fetchAnswer(holder);
 		if (this.over) {
 			return;
 		}
@@ -298,7 +298,7 @@
 		this.mayHaveRun = this.mayHaveRunBefore || sent;
 		this.release(true, false);
 		this.call = undefined;
-		this.req.avoid.set(endpoint, this.host.clock.monotonic() + avoidMs);
+		this.req.avoidUntil.set(endpoint, this.host.clock.monotonic() + avoidMs);
 		this.timeline.record(eventKinds.requestFailed, { endpoint, reason: `${failure}: ${detail}` });
 		if (this.mayGoOn(sent)) {
 			this.timeline.record(eventKinds.requestResumed, { value: this.req.offset });
@@ -311,9 +311,9 @@
 	/** After a failure: may the request be given to an endpoint again? */
 	private mayGoOn(sent: boolean): boolean {
 		const safe = !sent || this.req.repeatable;
-		const resumable = !this.bytesForwarded && !this.stream.plainForwarded;
+		const resumable = !this.bytesForwarded && !this.stream.hasForwardedWithoutOffsets;
 		// Going on behind what the caller has is no second request: the budget is for those.
-		const allowed = this.req.offset > 0 || this.host.retries.take();
+		const allowed = this.req.offset > 0 || this.host.retryBudget.tryConsume();
 		return safe && resumable && this.attempts < maxAttempts && allowed;
 	}
 
@@ -335,7 +335,7 @@
 	private recordEnd(outcome: string, reason?: string): void {
 		const value = this.stream.totalTokens;
 		this.timeline.record(eventKinds.requestEnded, { outcome, reason, value });
-		this.host.ended(this, outcome, this.stream.totalTokens);
+		this.host.finish(this, outcome, this.stream.totalTokens);
 	}
 
 	private waitAgain(): void {
@@ -351,7 +351,13 @@
 		}
 		this.slot = undefined;
 		const { firstTokenMs, streamedMs } = this.pace;
-		const result = { firstTokenMs, tokens: this.stream.runTokens, streamedMs, failed, cancelled };
-		this.host.released(this, slot, result);
+		const result = {
+			firstTokenMs,
+			tokens: this.stream.attemptTokens,
+			streamedMs,
+			failed,
+			cancelled,
+		};
+		this.host.releaseSlot(this, slot, result);
 	}
 }
--- a/src/core/requests/answer-store.ts
+++ b/src/core/requests/answer-store.ts
@@ -100,20 +100,20 @@
 		this.inner.start(status, headers);
 	}
 
-	events(events: readonly StreamEvent[]): boolean {
+	writeEvents(events: readonly StreamEvent[]): boolean {
 		this.bytesKept += events.reduce((sum, event) => sum + event.data.length, 0);
 		if (this.bytesKept <= maxBytes) {
 			this.kept.events.push(...events);
 		}
-		return this.callerGone || this.inner.events(events);
+		return this.callerGone || this.inner.writeEvents(events);
 	}
 
-	bytes(chunk: Uint8Array): boolean {
+	writeBytes(chunk: Uint8Array): boolean {
 		this.bytesKept += chunk.length;
 		if (this.bytesKept <= maxBytes) {
 			this.chunks.push(chunk);
 		}
-		return this.callerGone || this.inner.bytes(chunk);
+		return this.callerGone || this.inner.writeBytes(chunk);
 	}
 
 	finish(): void {
@@ -140,10 +140,10 @@
 export function replayAnswer(answer: StoredAnswer, sink: CallerSink): string {
 	sink.start(answer.status, answer.headers);
 	if (answer.events.length > 0) {
-		sink.events(answer.events);
+		sink.writeEvents(answer.events);
 	}
 	if (answer.body.length > 0) {
-		sink.bytes(answer.body);
+		sink.writeBytes(answer.body);
 	}
 	sink.finish();
 	return outcomes.complete;
--- a/src/core/requests/answer-stream.ts
+++ b/src/core/requests/answer-stream.ts
@@ -14,9 +14,9 @@
 	/** Tokens passed on, over all runs. */
 	totalTokens = 0;
 	/** Tokens of the run that goes on. */
-	runTokens = 0;
+	attemptTokens = 0;
 	/** Events without offsets were passed on: a resume would repeat them. */
-	plainForwarded = false;
+	hasForwardedWithoutOffsets = false;
 	private sawDone = false;
 	private held: StreamEvent[] = [];
 	private eventsSeen = 0;
@@ -36,14 +36,14 @@
 	}
 
 	/** Another run begins; what the one before left unfinished comes again. */
-	restart(): void {
+	beginAttempt(): void {
 		this.held = [];
 		this.sawDone = false;
-		this.runTokens = 0;
+		this.attemptTokens = 0;
 	}
 
 	/** Takes in events; returns those that may be passed on. */
-	take(events: readonly StreamEvent[]): StreamEvent[] {
+	process(events: readonly StreamEvent[]): StreamEvent[] {
 		const ready: StreamEvent[] = [];
 		for (const event of events) {
 			this.takeOne(event, ready);
@@ -52,7 +52,7 @@
 	}
 
 	/** What is left when the answer has ended whole. */
-	takeRest(): StreamEvent[] {
+	flush(): StreamEvent[] {
 		const rest = this.held;
 		this.held = [];
 		return rest;
@@ -70,9 +70,9 @@
 		}
 		this.held.push(event);
 		if (!this.offsetsSeen && this.eventsSeen > eventsUntilPlain) {
-			this.plainForwarded = true;
+			this.hasForwardedWithoutOffsets = true;
 			this.countToken();
-			ready.push(...this.takeRest());
+			ready.push(...this.flush());
 		}
 	}
 
@@ -83,11 +83,11 @@
 		}
 		this.position.offset = offset;
 		this.countToken();
-		ready.push(...this.takeRest(), event);
+		ready.push(...this.flush(), event);
 	}
 
 	private countToken(): void {
-		this.runTokens++;
+		this.attemptTokens++;
 		this.totalTokens++;
 	}
 }
--- a/src/core/requests/caller-request.ts
+++ b/src/core/requests/caller-request.ts
@@ -10,7 +10,7 @@
 	cls: 'x-slategauge-class',
 	deadlineMs: 'x-slategauge-deadline-ms',
 	repeatable: 'x-slategauge-repeatable',
-	key: 'idempotency-key',
+	idempotencyKey: 'idempotency-key',
 } as const;
 
 /** Longest idempotency key, in characters. */
@@ -22,11 +22,11 @@
 export type HeaderMap = Record<string, string | string[] | undefined>;
 
 /** What was read from head and path. */
-export interface CallerTerms {
+export interface CallerRequestOptions {
 	customer: Customer;
 	cls: ServiceClass;
 	deadlineMs: number;
-	key?: string;
+	idempotencyKey?: string;
 	/** What the caller itself said; the stricter of all sources wins. */
 	repeatable: boolean;
 }
@@ -42,14 +42,17 @@
 }
 
 /** Terms of a request; throws a `UserError` on the first thing that is wrong. */
-export function readTerms(cfg: ConfigurationView, headers: HeaderMap): CallerTerms {
+export function readRequestOptions(
+	cfg: ConfigurationView,
+	headers: HeaderMap,
+): CallerRequestOptions {
 	const customer = readCustomer(cfg, headers);
 	const cls = readClass(cfg, customer, headers);
 	return {
 		customer,
 		cls,
 		deadlineMs: readDeadline(cls, headers),
-		key: readKey(headers),
+		idempotencyKey: readKey(headers),
 		repeatable: readRepeatable(headers),
 	};
 }
@@ -90,9 +93,9 @@
 }
 
 function readKey(headers: HeaderMap): string | undefined {
-	const key = headerOf(headers, callerHeaders.key);
+	const key = headerOf(headers, callerHeaders.idempotencyKey);
 	if (key !== undefined && (key.length === 0 || key.length > maxKeyLength)) {
-		const why = `${callerHeaders.key} must have 1 to ${maxKeyLength} characters`;
+		const why = `${callerHeaders.idempotencyKey} must have 1 to ${maxKeyLength} characters`;
 		throw new errors.UserError(errors.data.BadRequest, [why]);
 	}
 	return key;
--- a/src/core/requests/definitions.ts
+++ b/src/core/requests/definitions.ts
@@ -11,9 +11,9 @@
 	/** The answer has begun; called once. */
 	start(status: number, headers: Record<string, string>): void;
 	/** Whole events; false asks for a pause until `onDrain` calls. */
-	events(events: readonly StreamEvent[]): boolean;
+	writeEvents(events: readonly StreamEvent[]): boolean;
 	/** Bytes of an answer that is not a stream of events. */
-	bytes(chunk: Uint8Array): boolean;
+	writeBytes(chunk: Uint8Array): boolean;
 	/** The whole answer was given. */
 	finish(): void;
 	/** The last word when it was not. */
--- a/src/core/requests/duration-estimate.ts
+++ b/src/core/requests/duration-estimator.ts
@@ -17,7 +17,7 @@
 	firstTokenMs: number;
 }
 
-export class DurationEstimate {
+export class DurationEstimator {
 	private readonly estimates = new Map<string, Estimate>();
 
 	add(cls: string, customer: string, durationMs: number, firstTokenMs: number): void {
--- a/src/core/requests/retry-budget.ts
+++ b/src/core/requests/retry-budget.ts
@@ -11,12 +11,12 @@
 export class RetryBudget {
 	private saved = maxSaved;
 
-	requestCame(): void {
+	recordRequest(): void {
 		this.saved = Math.min(maxSaved, this.saved + ratio);
 	}
 
 	/** True if a retry may be made now. */
-	take(): boolean {
+	tryConsume(): boolean {
 		if (this.saved < 1) {
 			return false;
 		}
--- a/src/core/requests/router.ts
+++ b/src/core/requests/router.ts
@@ -11,15 +11,15 @@
 import { RequestQueue } from '../scheduling/request-queue.js';
 import type { Timeline } from '../timeline/index.js';
 import { eventKinds } from '../timeline/index.js';
+import type { ActiveRequestHost } from './active-request.js';
+import { ActiveRequest } from './active-request.js';
 import type { StoredAnswer } from './answer-store.js';
 import { AnswerStore } from './answer-store.js';
 import type { CallerSink, CallTemplate } from './definitions.js';
-import { DurationEstimate } from './duration-estimate.js';
+import { DurationEstimator } from './duration-estimator.js';
 import { RetryBudget } from './retry-budget.js';
-import type { RunHost } from './run.js';
-import { RequestRun } from './run.js';
 import type { Request } from './types.js';
-import { avoids } from './types.js';
+import { isAvoided } from './types.js';
 
 /** Bounds of Retry-After, in seconds. */
 const minRetryAfterS = 1;
@@ -41,27 +41,27 @@
 	limits: QueueLimits;
 	stallMs: number;
 	/** Calls back soon, once, from the loop. */
-	soon: (callback: () => void) => void;
+	defer: (callback: () => void) => void;
 	/** Asks another daemon for the answer of an attempt that holds a claim. */
-	attachElsewhere: (holder: ClaimRecord) => Promise<StoredAnswer | undefined>;
+	fetchPeerAnswer: (holder: ClaimRecord) => Promise<StoredAnswer | undefined>;
 	/** Requests came, started or ended. */
 	onChange?: () => void;
 }
 
-export class Router implements RunHost {
+export class Router implements ActiveRequestHost {
 	readonly clock: Clock;
 	readonly endpoints: EndpointClient;
 	readonly claims: ClaimStore;
 	readonly timeline: Timeline;
 	readonly vm: string;
 	readonly stallMs: number;
-	readonly retries = new RetryBudget();
+	readonly retryBudget = new RetryBudget();
 	/** Answers for second arrivals. */
 	readonly answers: AnswerStore;
 	readonly queue: RequestQueue;
-	private readonly runs = new Map<number, RequestRun>();
+	private readonly runs = new Map<number, ActiveRequest>();
 	private readonly runningByCustomer = new Map<string, number>();
-	private readonly durations = new DurationEstimate();
+	private readonly durations = new DurationEstimator();
 	private cfg?: ConfigurationView;
 	private policy?: SlotPolicy;
 	private pumpDue = false;
@@ -82,25 +82,25 @@
 	configure(cfg: ConfigurationView, policy: SlotPolicy): void {
 		this.cfg = cfg;
 		this.policy = policy;
-		this.pumpSoon();
+		this.scheduleDispatch();
 	}
 
-	get size(): number {
+	get activeCount(): number {
 		return this.runs.size;
 	}
 
 	/** Every request that this daemon holds. */
-	all(): Iterable<RequestRun> {
+	activeRequests(): Iterable<ActiveRequest> {
 		return this.runs.values();
 	}
 
 	/** Takes in a request. */
-	submit(req: Request, template: CallTemplate, sink: CallerSink): RequestRun {
-		const once = req.key !== undefined && !req.repeatable;
+	submit(req: Request, template: CallTemplate, sink: CallerSink): ActiveRequest {
+		const once = req.idempotencyKey !== undefined && !req.repeatable;
 		const recording = once ? this.answers.record(req.id, sink) : undefined;
-		const run = new RequestRun(req, template, recording ?? sink, this, recording);
+		const run = new ActiveRequest(req, template, recording ?? sink, this, recording);
 		this.runs.set(req.ticket, run);
-		this.retries.requestCame();
+		this.retryBudget.recordRequest();
 		this.timeline.record(eventKinds.requestQueued, {
 			request: req.id,
 			cls: req.cls.name,
@@ -119,16 +119,16 @@
 	}
 
 	isPreemptable(ticket: number): boolean {
-		return this.runs.get(ticket)?.preemptable ?? false;
+		return this.runs.get(ticket)?.isPreemptable ?? false;
 	}
 
 	/** Nothing starts until the views are fresh again; called after a jump of the clock. */
-	holdUntil(at: number): void {
+	pauseDispatchUntil(at: number): void {
 		this.pauseUntil = Math.max(this.pauseUntil, at);
 	}
 
 	/** Gives up requests whose deadline can no longer be met. Called often. */
-	sweep(): void {
+	shedExpired(): void {
 		if (this.queue.size === 0) {
 			return;
 		}
@@ -139,7 +139,7 @@
 				this.giveUpWaiting(req, errors.data.DeadlinePassed);
 			}
 		}
-		this.pumpSoon();
+		this.scheduleDispatch();
 	}
 
 	/** A waiting request that starts later than this is of no use. */
@@ -147,14 +147,14 @@
 		const needsMs = this.durations.durationMs(req.cls.name, req.customer);
 		const trusted = (req.deadlineAt - req.arrivedAt) * trustedShare;
 		const useful = req.deadlineAt - Math.min(needsMs, trusted);
-		return req.offset > 0 ? req.deadlineAt : Math.min(req.patientUntil, useful);
+		return req.offset > 0 ? req.deadlineAt : Math.min(req.queueTimeoutAt, useful);
 	}
 
 	/** Starts what may start, soon. */
-	pumpSoon(): void {
+	scheduleDispatch(): void {
 		if (!this.pumpDue) {
 			this.pumpDue = true;
-			this.opts.soon(() => {
+			this.opts.defer(() => {
 				this.pumpDue = false;
 				this.pump();
 			});
@@ -186,13 +186,13 @@
 		return open ? known.url : undefined;
 	}
 
-	requeue(run: RequestRun): void {
+	requeue(run: ActiveRequest): void {
 		this.forgiveWhenAlone(run.req);
 		this.queue.requeue(run.req);
-		this.pumpSoon();
+		this.scheduleDispatch();
 	}
 
-	released(run: RequestRun, slot: Slot, result: RunResult): void {
+	releaseSlot(run: ActiveRequest, slot: Slot, result: RunResult): void {
 		const customer = run.req.customer;
 		this.runningByCustomer.set(customer, this.customerShare(customer) - 1 / run.req.weight);
 		if (!result.failed && !result.cancelled && result.firstTokenMs !== undefined) {
@@ -200,14 +200,14 @@
 			this.durations.add(run.req.cls.name, customer, took, result.firstTokenMs);
 		}
 		this.policy?.releaseSlot(run.req, slot, result, this.clock.monotonic());
-		this.pumpSoon();
+		this.scheduleDispatch();
 	}
 
-	observed(run: RequestRun, slot: Slot, gapMs: number): void {
+	recordInterTokenLatency(run: ActiveRequest, slot: Slot, gapMs: number): void {
 		this.policy?.recordInterTokenLatency(run.req, slot, gapMs, this.clock.monotonic());
 	}
 
-	ended(run: RequestRun, outcome: string, tokens: number): void {
+	finish(run: ActiveRequest, outcome: string, tokens: number): void {
 		this.queue.remove(run.req);
 		this.runs.delete(run.req.ticket);
 		const tags = { class: run.req.cls.name, outcome };
@@ -216,9 +216,9 @@
 		this.opts.metrics.timing('requests.duration', this.clock.monotonic() - run.req.arrivedAt, tags);
 	}
 
-	attach(holder: ClaimRecord): Promise<StoredAnswer | undefined> {
+	fetchAnswer(holder: ClaimRecord): Promise<StoredAnswer | undefined> {
 		const here = holder.vm === this.vm;
-		return here ? this.answers.wait(holder.attempt) : this.opts.attachElsewhere(holder);
+		return here ? this.answers.wait(holder.attempt) : this.opts.fetchPeerAnswer(holder);
 	}
 
 	retryAfterS(req: Request): number {
@@ -240,7 +240,7 @@
 		if (this.queue.size === 1) {
 			this.pump();
 		} else {
-			this.pumpSoon();
+			this.scheduleDispatch();
 		}
 	}
 
@@ -248,15 +248,15 @@
 	 * An answer that has begun is never given up as "not run"; `RequestRun` tells the difference.
 	 */
 	private giveUpWaiting(req: Request, data: errors.ErrorData): void {
-		this.runs.get(req.ticket)?.giveUp(data);
+		this.runs.get(req.ticket)?.shed(data);
 	}
 
 	/** A request that avoids every endpoint may ask them again. */
 	private forgiveWhenAlone(req: Request): void {
 		const eligible = this.cfg?.eligible(req.target, req.cls.name) ?? [];
 		const now = this.clock.monotonic();
-		if (eligible.every((endpoint) => avoids(req, endpoint.name, now))) {
-			req.avoid.clear();
+		if (eligible.every((endpoint) => isAvoided(req, endpoint.name, now))) {
+			req.avoidUntil.clear();
 		}
 	}
 
--- a/src/core/requests/pace.ts
+++ b/src/core/requests/token-timing.ts
@@ -6,7 +6,7 @@
 /** Least time between two observations of one run, in milliseconds. */
 const observeEveryMs = 200;
 
-export class Pace {
+export class TokenTiming {
 	private firstAt = 0;
 	private lastAt = 0;
 	private observedAt = 0;
@@ -25,7 +25,7 @@
 	}
 
 	/** Notes that the run has given `tokens` in all; true for the first time. */
-	note(tokens: number, now: number): boolean {
+	recordTokens(tokens: number, now: number): boolean {
 		this.lastAt = now;
 		if (this.firstAt > 0) {
 			return false;
@@ -37,7 +37,7 @@
 	}
 
 	/** Mean time between the newest tokens, when enough time has passed since the last asking. */
-	takeGapMs(tokens: number, now: number): number | undefined {
+	sampleInterTokenMs(tokens: number, now: number): number | undefined {
 		const since = now - this.observedAt;
 		const fresh = tokens - this.observedTokens;
 		if (since < observeEveryMs || fresh === 0) {
--- a/src/core/requests/types.ts
+++ b/src/core/requests/types.ts
@@ -30,25 +30,25 @@
 	readonly target: Target;
 	readonly repeatable: boolean;
 	/** Idempotency key, where the caller gave one. */
-	readonly key?: string;
+	readonly idempotencyKey?: string;
 	readonly arrivedAt: number;
 	/** The first token is in time until then. */
 	readonly firstTokenBy: number;
 	/** The answer is of no use after that. */
 	readonly deadlineAt: number;
 	/** Without a start until then it is given up. */
-	readonly patientUntil: number;
+	readonly queueTimeoutAt: number;
 	/** Bytes kept while it waits. */
-	readonly bytes: number;
+	readonly heldBytes: number;
 	/** Since when it waits; later than arrival after a preemption or a broken stream. */
 	waitingSince: number;
 	/** Tokens that the caller has; above 0 after a resume. */
 	offset: number;
 	/** Endpoints that failed it, and until when they are not asked again. */
-	avoid: Map<string, number>;
+	avoidUntil: Map<string, number>;
 }
 
 /** Whether a request passes over an endpoint that has just failed it. */
-export function avoids(req: Request, endpoint: string, now: number): boolean {
-	return (req.avoid.get(endpoint) ?? Number.NEGATIVE_INFINITY) > now;
+export function isAvoided(req: Request, endpoint: string, now: number): boolean {
+	return (req.avoidUntil.get(endpoint) ?? Number.NEGATIVE_INFINITY) > now;
 }
--- a/src/core/scheduling/granted-policy.ts
+++ b/src/core/scheduling/granted-policy.ts
@@ -7,7 +7,7 @@
 import type { Endpoint } from '../configuration/index.js';
 import * as rendezvous from '../membership/rendezvous.js';
 import type { Request } from '../requests/types.js';
-import { avoids } from '../requests/types.js';
+import { isAvoided } from '../requests/types.js';
 import type {
 	RunResult,
 	SchedulingState,
@@ -186,7 +186,7 @@
 			maxCandidatesPerGroup,
 			accepts,
 		);
-		return candidates.find(({ req }) => !avoids(req, endpoint.name, state.now))?.req;
+		return candidates.find(({ req }) => !isAvoided(req, endpoint.name, state.now))?.req;
 	}
 
 	private assignIdleSlots(state: SchedulingState, assignments: SlotAssignment[]): void {
@@ -212,7 +212,7 @@
 		let bestLoad = Number.POSITIVE_INFINITY;
 		for (const endpoint of state.cfg.eligible(req.target, req.cls.name)) {
 			const held = this.heldSlots(endpoint.name);
-			const isUsable = held.usableIdleSlots > 0 && !avoids(req, endpoint.name, state.now);
+			const isUsable = held.usableIdleSlots > 0 && !isAvoided(req, endpoint.name, state.now);
 			const load = isUsable ? held.load : Number.POSITIVE_INFINITY;
 			if (load < bestLoad) {
 				best = held;
@@ -260,7 +260,7 @@
 		for (const held of allHeld) {
 			const mayPreempt = held.endpoint === preemptionEndpoint;
 			const slotRequests = selected
-				.filter(({ req }) => targets.has(held) && !avoids(req, held.endpoint, state.now))
+				.filter(({ req }) => targets.has(held) && !isAvoided(req, held.endpoint, state.now))
 				.map((candidate) => slotRequestOf(state, candidate, mayPreempt));
 			held.updateSlotRequests(slotRequests, state.now);
 			if (isDue(held, state.now)) {
--- a/src/core/scheduling/independent-policy.ts
+++ b/src/core/scheduling/independent-policy.ts
@@ -6,7 +6,7 @@
 import type { Endpoint } from '../configuration/index.js';
 import type { LoadReport } from '../definitions.js';
 import type { Request } from '../requests/types.js';
-import { avoids } from '../requests/types.js';
+import { isAvoided } from '../requests/types.js';
 import type {
 	RunResult,
 	SchedulingState,
@@ -62,7 +62,7 @@
 	}
 
 	mayDispatch(endpoint: string): boolean {
-		return this.use(endpoint).report?.leaving !== true;
+		return this.use(endpoint).report?.isDraining !== true;
 	}
 
 	private findLeastLoaded(state: SchedulingState, req: Request): Endpoint | undefined {
@@ -70,7 +70,7 @@
 		let bestLoad = Number.POSITIVE_INFINITY;
 		for (const endpoint of state.cfg.eligible(req.target, req.cls.name)) {
 			const load = this.loadOf(endpoint, state.now);
-			if (load < bestLoad && !avoids(req, endpoint.name, state.now)) {
+			if (load < bestLoad && !isAvoided(req, endpoint.name, state.now)) {
 				best = endpoint;
 				bestLoad = load;
 			}
@@ -83,7 +83,7 @@
 		const use = this.use(endpoint.name);
 		const reported = (use.report?.running ?? 0) + (use.report?.waiting ?? 0);
 		const load = Math.max(use.ownRequests, reported);
-		const isUnavailable = use.report?.leaving === true || use.pausedUntil > now;
+		const isUnavailable = use.report?.isDraining === true || use.pausedUntil > now;
 		const isFull = use.ownRequests >= endpoint.slots || load >= endpoint.slots;
 		return isUnavailable || isFull ? Number.POSITIVE_INFINITY : load / endpoint.slots;
 	}
--- a/src/core/scheduling/request-queue.ts
+++ b/src/core/scheduling/request-queue.ts
@@ -75,7 +75,7 @@
 			this.groups.delete(key);
 		}
 		this.count--;
-		this.bytes -= req.bytes;
+		this.bytes -= req.heldBytes;
 		return true;
 	}
 
@@ -153,7 +153,7 @@
 		}
 		group.requests.splice(index, 0, req);
 		this.count++;
-		this.bytes += req.bytes;
+		this.bytes += req.heldBytes;
 	}
 
 	private findEvictionVictim(): Request | undefined {
--- a/src/daemon/daemon-control.ts
+++ b/src/daemon/daemon-control.ts
@@ -7,8 +7,8 @@
 import type { ChangeRequest } from '../core/configuration/writer.js';
 import type { OrderKind } from '../core/definitions.js';
 import * as errors from '../core/errors/index.js';
+import type { ActiveRequest } from '../core/requests/active-request.js';
 import type { StoredAnswer } from '../core/requests/answer-store.js';
-import type { RequestRun } from '../core/requests/run.js';
 import type { TimelineEvent } from '../core/timeline/index.js';
 import type { DaemonApi, EndpointRow, RequestRow, StatusReport } from '../infra/control/types.js';
 import type { Daemon } from './daemon.js';
@@ -20,7 +20,7 @@
 		const { settings, router, kv, configuration } = this.daemon;
 		const cpu = process.cpuUsage();
 		const { traffic } = this.daemon.transport;
-		const running = [...router.all()].filter((run) => run.running).length;
+		const running = [...router.activeRequests()].filter((run) => run.currentSlot).length;
 		return {
 			vm: settings.vm.id,
 			failure_domain: settings.vm.failure_domain,
@@ -30,7 +30,7 @@
 			queued: router.queue.size,
 			running,
 			members: this.members(),
-			kv_calls: kv.calls,
+			kv_calls: kv.callCount,
 			cpu_ms: (cpu.user + cpu.system) / 1000,
 			rss_bytes: process.memoryUsage.rss(),
 			peer_bytes_sent: traffic.bytesSent,
@@ -42,7 +42,7 @@
 	}
 
 	requests(): RequestRow[] {
-		return [...this.daemon.router.all()].map((run) => this.row(run));
+		return [...this.daemon.router.activeRequests()].map((run) => this.row(run));
 	}
 
 	endpoints(): EndpointRow[] {
@@ -53,7 +53,7 @@
 			return {
 				endpoint: endpoint.name,
 				vm: settings.vm.id,
-				owner: fleet?.desk.ownerOf(endpoint.name) ?? '',
+				owner: fleet?.ownedLedgers.ownerOf(endpoint.name) ?? '',
 				state: holding?.lastReply?.isUnavailable ? 'closed' : endpoint.state,
 				limit: holding?.lastReply?.limit ?? 0,
 				running: holding?.runningCount ?? 0,
@@ -79,9 +79,9 @@
 		if (!this.daemon.settings.drills.enabled) {
 			throw new errors.UserError(errors.data.DrillsDisabled);
 		}
-		this.daemon.cut.clear();
+		this.daemon.blockedPeers.clear();
 		for (const peer of peers) {
-			this.daemon.cut.add(peer);
+			this.daemon.blockedPeers.add(peer);
 		}
 	}
 
@@ -113,20 +113,20 @@
 		}));
 	}
 
-	private row(run: RequestRun): RequestRow {
+	private row(run: ActiveRequest): RequestRow {
 		const now = this.daemon.clock.monotonic();
 		const { req } = run;
 		return {
 			id: req.id,
 			vm: this.daemon.settings.vm.id,
-			state: run.running ? 'running' : 'queued',
+			state: run.currentSlot ? 'running' : 'queued',
 			class: req.cls.name,
 			tier: req.cls.tier,
 			customer: req.customer,
-			endpoint: run.running?.endpoint ?? '',
-			late: run.tokens === 0 && now > req.firstTokenBy,
+			endpoint: run.currentSlot?.endpoint ?? '',
+			late: run.forwardedTokens === 0 && now > req.firstTokenBy,
 			age_ms: Math.round(now - req.arrivedAt),
-			tokens: run.tokens,
+			tokens: run.forwardedTokens,
 		};
 	}
 }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -28,10 +28,10 @@
 import { UndiciEndpointClient } from '../infra/undici-endpoint-client.js';
 import { DaemonControl } from './daemon-control.js';
 import { FleetNode } from './fleet-node.js';
-import { listenOn, listenOnBoth } from './listen.js';
+import { listenOn, listenOnTcpAndUdp } from './listen.js';
 import { LoadPoller } from './load-poller.js';
-import { PeerAnswers } from './peer-answers.js';
-import { PeerConfiguration } from './peer-configuration.js';
+import { PeerAnswerFetcher } from './peer-answer-fetcher.js';
+import { PeerConfigurationFetcher } from './peer-configuration-fetcher.js';
 
 /** Time between two looks for requests to give up, in milliseconds. */
 const sweepMs = 50;
@@ -55,12 +55,12 @@
 	private readonly loads: LoadPoller;
 	readonly transport: UdpTransport;
 	/** Peers that a drill has cut off. */
-	readonly cut = new Set<string>();
+	readonly blockedPeers = new Set<string>();
 	private fleetNode?: FleetNode;
 	private view?: ConfigurationView;
 	private owned: readonly Endpoint[] = [];
-	private readonly peerConfiguration: PeerConfiguration;
-	private readonly peerAnswers: PeerAnswers;
+	private readonly peerConfiguration: PeerConfigurationFetcher;
+	private readonly peerAnswers: PeerAnswerFetcher;
 	private callers?: CallersServer;
 	private control?: http.Server;
 	private stopping = false;
@@ -96,14 +96,14 @@
 		this.loads = new LoadPoller({
 			endpoints: this.endpoints,
 			random: this.random,
-			report: (endpoint, report) => this.loadReported(endpoint, report),
+			onReport: (endpoint, report) => this.loadReported(endpoint, report),
 		});
-		this.peerAnswers = new PeerAnswers({
+		this.peerAnswers = new PeerAnswerFetcher({
 			token: settings.peers.token,
 			log,
 			membership: () => this.fleetNode?.membership,
 		});
-		this.peerConfiguration = new PeerConfiguration({
+		this.peerConfiguration = new PeerConfigurationFetcher({
 			token: settings.peers.token,
 			log,
 			random: this.random,
@@ -141,7 +141,7 @@
 		});
 		this.control = createControlServer(new DaemonControl(this));
 		const callersPort = await listenOn(this.callers.server, vm.address, ports.callers_port);
-		const controlPort = await listenOnBoth(
+		const controlPort = await listenOnTcpAndUdp(
 			this.control,
 			this.transport,
 			vm.address,
@@ -149,7 +149,7 @@
 		);
 		this.fleetNode = this.makeFleetNode(controlPort);
 		this.fleetNode.start();
-		this.timers.push(setInterval(() => this.router.sweep(), sweepMs));
+		this.timers.push(setInterval(() => this.router.shedExpired(), sweepMs));
 		void this.follower.follow();
 		this.log.info('daemon.listening', { callers_port: callersPort, control_port: controlPort });
 	}
@@ -160,19 +160,19 @@
 			return;
 		}
 		this.stopping = true;
-		this.timeline.record(eventKinds.stopping, { value: this.router.size });
-		this.log.info('daemon.stopping', { requests: this.router.size });
+		this.timeline.record(eventKinds.stopping, { value: this.router.activeCount });
+		this.log.info('daemon.stopping', { requests: this.router.activeCount });
 		const latest = this.clock.monotonic() + this.settings.limits.stop_ms;
-		while (this.router.size > 0 && this.clock.monotonic() < latest) {
+		while (this.router.activeCount > 0 && this.clock.monotonic() < latest) {
 			await sleep(stopPollMs);
 		}
-		this.sayWhatIsCut();
+		this.logAbortedRequests();
 		await this.close();
 	}
 
 	/** Names the requests that an end now would cut off. */
-	sayWhatIsCut(): void {
-		for (const run of this.router.all()) {
+	logAbortedRequests(): void {
+		for (const run of this.router.activeRequests()) {
 			this.log.warn('daemon.cuts', { request: run.req.id, class: run.req.cls.name });
 		}
 	}
@@ -210,13 +210,13 @@
 	private followLoads(): void {
 		const document = this.view?.document;
 		const alone = document?.policy.name === policies.independent;
-		this.loads.follow(alone ? document.endpoints : this.owned);
+		this.loads.setEndpoints(alone ? document.endpoints : this.owned);
 	}
 
 	private loadReported(endpoint: string, report: LoadReport): void {
 		this.independent.applyLoadReport(endpoint, report);
 		const drained = this.view?.endpointNamed(endpoint)?.state !== 'active';
-		this.fleetNode?.desk.setUnavailable(endpoint, report.leaving || drained);
+		this.fleetNode?.ownedLedgers.setUnavailable(endpoint, report.isDraining || drained);
 	}
 
 	/** A few daemons of each failure domain watch; the others hear of changes from peers. */
@@ -236,7 +236,7 @@
 			tickMs: this.settings.peers.tick_ms,
 			clock,
 			onBatch: (batch) => this.fleetNode?.receive(batch),
-			isCut: (peer) => this.cut.has(peer),
+			isCut: (peer) => this.blockedPeers.has(peer),
 		});
 	}
 
@@ -244,7 +244,7 @@
 		const { vm, peers, platform } = this.settings;
 		return new FleetNode({
 			self: { id: vm.id, address: vm.address, port, domain: vm.failure_domain },
-			probeMs: peers.probe_ms,
+			probeIntervalMs: peers.probe_ms,
 			clock: this.clock,
 			random: this.random,
 			log: this.log,
@@ -284,9 +284,9 @@
 			timeline: this.timeline,
 			limits: { requests: limits.queue_requests, bytes: limits.queue_bytes },
 			stallMs: limits.stall_ms,
-			attachElsewhere: (holder) => this.peerAnswers.wait(holder),
-			soon: (callback) => void setImmediate(callback),
-			onChange: () => this.fleetNode?.reportSoon(),
+			fetchPeerAnswer: (holder) => this.peerAnswers.fetch(holder),
+			defer: (callback) => void setImmediate(callback),
+			onChange: () => this.fleetNode?.scheduleReport(),
 		});
 	}
 
--- a/src/daemon/fleet-node.ts
+++ b/src/daemon/fleet-node.ts
@@ -39,7 +39,7 @@
 
 export interface FleetNodeOptions {
 	self: { id: string; address: string; port: number; domain: string };
-	probeMs: number;
+	probeIntervalMs: number;
 	clock: Clock;
 	random: Random;
 	log: Log;
@@ -56,7 +56,7 @@
 
 export class FleetNode {
 	readonly membership: Membership;
-	readonly desk: OwnedLedgers;
+	readonly ownedLedgers: OwnedLedgers;
 	readonly policy: GrantedPolicy;
 	private readonly timers: NodeJS.Timeout[] = [];
 	private lastTick: number;
@@ -75,11 +75,11 @@
 			self,
 			clock,
 			random,
-			probeIntervalMs: opts.probeMs,
+			probeIntervalMs: opts.probeIntervalMs,
 			send: ({ to, message }) => opts.transport.send(to, { type: 'membership', body: message }),
 			onChange: (member) => this.memberChanged(member),
 		});
-		this.desk = new OwnedLedgers({
+		this.ownedLedgers = new OwnedLedgers({
 			self: self.id,
 			sendReply: (to, body) => this.send(to, { type: 'reply', body }),
 			newEpoch: () => shortTime(clock.wall(), epochStepMs),
@@ -90,10 +90,10 @@
 			self: self.id,
 			fleetSize: () => this.membership.liveMembers().length,
 			sendReport: (owner, body) => this.send(owner, { type: 'report', body }),
-			ownerOf: (endpoint) => this.desk.ownerOf(endpoint),
+			ownerOf: (endpoint) => this.ownedLedgers.ownerOf(endpoint),
 			preempt: (ticket) => opts.router.preempt(ticket),
 			isPreemptable: (ticket) => opts.router.isPreemptable(ticket),
-			wake: () => opts.router.pumpSoon(),
+			wake: () => opts.router.scheduleDispatch(),
 			firstSeq: shortTime(clock.wall(), seqStepMs),
 		});
 	}
@@ -118,12 +118,12 @@
 	configure(cfg: ConfigurationView): void {
 		this.version = cfg.version;
 		this.membership.setConfigurationVersion(cfg.version);
-		this.desk.configure(cfg, this.opts.clock.monotonic());
+		this.ownedLedgers.configure(cfg, this.opts.clock.monotonic());
 		this.policy.refreshOwners();
 	}
 
 	/** Requests started or ended: tell the owners what they must know. */
-	reportSoon(): void {
+	scheduleReport(): void {
 		if (this.reportDue) {
 			return;
 		}
@@ -147,7 +147,7 @@
 				this.opts.onNewerVersion(message.body.from);
 			}
 		} else if (message.type === 'report') {
-			this.desk.applyReport(from, message.body, now);
+			this.ownedLedgers.applyReport(from, message.body, now);
 			this.decideSoon();
 		} else {
 			this.policy.applyReply(from, message.body, now);
@@ -179,7 +179,7 @@
 	private decide(): void {
 		this.deskDue = false;
 		this.decidedAt = this.opts.clock.monotonic();
-		this.desk.allocateSlots(this.decidedAt);
+		this.ownedLedgers.allocateSlots(this.decidedAt);
 	}
 
 	private tick(): void {
@@ -217,10 +217,10 @@
 		const pausedFor = Math.round(now - this.lastTick);
 		this.opts.log.warn('clock.jumped', { paused_ms: pausedFor });
 		this.opts.timeline.record(eventKinds.clockJumped, { value: pausedFor });
-		this.opts.router.holdUntil(now + refreshMs);
+		this.opts.router.pauseDispatchUntil(now + refreshMs);
 		this.policy.dropGrants();
 		this.membership.handleProcessResumed();
-		this.desk.clear();
+		this.ownedLedgers.clear();
 		this.appliedMembers = '';
 		this.applyMembers();
 		void this.readVmList();
@@ -233,7 +233,7 @@
 		});
 		if (member.state === memberStates.dead) {
 			this.opts.log.warn('member.dead', { member: member.id });
-			this.desk.removeMember(member.id);
+			this.ownedLedgers.removeMember(member.id);
 		}
 		this.applyMembers();
 	}
@@ -247,7 +247,7 @@
 		}
 		this.appliedMembers = key;
 		const now = this.opts.clock.monotonic();
-		this.desk.setMembers(live, share, now);
+		this.ownedLedgers.setMembers(live, share, now);
 		this.policy.refreshOwners();
 	}
 
@@ -256,7 +256,7 @@
 			const vms = await this.opts.vmList.list();
 			this.membership.addCandidates(vms);
 			const own = vms.find((vm) => vm.id === this.opts.self.id);
-			this.opts.onListedLeaving(own?.leaving === true);
+			this.opts.onListedLeaving(own?.isLeaving === true);
 			this.applyMembers();
 		} catch (err) {
 			this.opts.log.debug('vm-list.read-failed', { error: (err as Error).message });
--- a/src/daemon/listen.ts
+++ b/src/daemon/listen.ts
@@ -23,7 +23,7 @@
 }
 
 /** TCP and UDP take the same number; the system chooses again when UDP is taken. */
-export async function listenOnBoth(
+export async function listenOnTcpAndUdp(
 	server: http.Server,
 	transport: UdpTransport,
 	address: string,
--- a/src/daemon/load-poller.ts
+++ b/src/daemon/load-poller.ts
@@ -11,7 +11,7 @@
 export interface LoadPollerOptions {
 	endpoints: EndpointClient;
 	random: Random;
-	report: (endpoint: string, report: LoadReport) => void;
+	onReport: (endpoint: string, report: LoadReport) => void;
 }
 
 export class LoadPoller {
@@ -21,7 +21,7 @@
 	constructor(private readonly opts: LoadPollerOptions) {}
 
 	/** Reads the reports of these endpoints from now on. */
-	follow(endpoints: readonly Endpoint[]): void {
+	setEndpoints(endpoints: readonly Endpoint[]): void {
 		const engines = endpoints.filter((endpoint) => endpoint.kind === endpointKinds.engine);
 		this.followed = new Map(engines.map((endpoint) => [endpoint.name, endpoint]));
 		for (const [name, timer] of this.timers) {
@@ -38,7 +38,7 @@
 	}
 
 	stop(): void {
-		this.follow([]);
+		this.setEndpoints([]);
 	}
 
 	private schedule(name: string): void {
@@ -55,7 +55,7 @@
 			return;
 		}
 		try {
-			this.opts.report(name, await this.opts.endpoints.load(endpoint.url));
+			this.opts.onReport(name, await this.opts.endpoints.fetchLoad(endpoint.url));
 		} catch {
 			// An endpoint that gives no report is judged by its answers alone.
 		}
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -73,7 +73,7 @@
 	const onSignal = async () => {
 		signals++;
 		if (signals > 1) {
-			daemon.sayWhatIsCut();
+			daemon.logAbortedRequests();
 			process.exit(exitCodes.failed);
 		}
 		await daemon.stop();
--- a/src/daemon/peer-answers.ts
+++ b/src/daemon/peer-answer-fetcher.ts
@@ -12,17 +12,17 @@
 /** Longest wait for an answer that another daemon is getting, in milliseconds. */
 const waitMs = 60_000;
 
-export interface PeerAnswersOptions {
+export interface PeerAnswerFetcherOptions {
 	token: string;
 	log: Log;
 	membership: () => Membership | undefined;
 }
 
-export class PeerAnswers {
-	constructor(private readonly opts: PeerAnswersOptions) {}
+export class PeerAnswerFetcher {
+	constructor(private readonly opts: PeerAnswerFetcherOptions) {}
 
 	/** Resolves when the answer has ended; undefined when it cannot be had. */
-	async wait(holder: ClaimRecord): Promise<StoredAnswer | undefined> {
+	async fetch(holder: ClaimRecord): Promise<StoredAnswer | undefined> {
 		const member = this.opts.membership()?.get(holder.vm);
 		if (!member || member.state === memberStates.dead) {
 			return undefined;
--- a/src/daemon/peer-configuration.ts
+++ b/src/daemon/peer-configuration-fetcher.ts
@@ -10,17 +10,17 @@
 /** Fetches start within this time, so that one peer is not asked by all at once, in milliseconds. */
 const jitterMs = 100;
 
-export interface PeerConfigurationOptions {
+export interface PeerConfigurationFetcherOptions {
 	token: string;
 	log: Log;
 	random: Random;
 	offer: (versioned: VersionedConfiguration) => void;
 }
 
-export class PeerConfiguration {
+export class PeerConfigurationFetcher {
 	private fetching = false;
 
-	constructor(private readonly opts: PeerConfigurationOptions) {}
+	constructor(private readonly opts: PeerConfigurationFetcherOptions) {}
 
 	/** One fetch at a time; a failed one is tried again with the next news. */
 	fetchFrom(member: Member): void {
--- a/src/infra/callers/callers-server.ts
+++ b/src/infra/callers/callers-server.ts
@@ -111,7 +111,7 @@
 		res: http.ServerResponse,
 		chat: boolean,
 	): Promise<void> {
-		const terms = callerRequest.readTerms(cfg, req.headers);
+		const terms = callerRequest.readRequestOptions(cfg, req.headers);
 		const raw = await body.readBody(req, this.opts.limits.body_bytes);
 		const read = body.readModelBody(raw, chat);
 		const target: Target = `model:${read.model}`;
@@ -135,7 +135,7 @@
 		req: http.IncomingMessage,
 		res: http.ServerResponse,
 	): Promise<void> {
-		const terms = callerRequest.readTerms(cfg, req.headers);
+		const terms = callerRequest.readRequestOptions(cfg, req.headers);
 		const raw = await body.readBody(req, this.opts.limits.body_bytes);
 		const path = (req.url ?? '').slice(`/services/${name}`.length) || '/';
 		const contentType = req.headers['content-type'];
@@ -152,7 +152,7 @@
 
 	private makeRequest(
 		cfg: ConfigurationView,
-		terms: callerRequest.CallerTerms,
+		terms: callerRequest.CallerRequestOptions,
 		target: Target,
 		bytes: number,
 	): Request {
@@ -168,15 +168,15 @@
 			weight: terms.customer.weight,
 			target,
 			repeatable: callerRequest.isRepeatable(cfg, terms.cls, target, terms.repeatable),
-			key: terms.key,
+			idempotencyKey: terms.idempotencyKey,
 			arrivedAt: now,
 			firstTokenBy: now + Math.min(terms.cls.first_token_ms, terms.deadlineMs),
 			deadlineAt: now + terms.deadlineMs,
-			patientUntil: now + Math.min(terms.cls.patience_ms ?? terms.deadlineMs, terms.deadlineMs),
-			bytes: bytes + requestOverheadBytes,
+			queueTimeoutAt: now + Math.min(terms.cls.patience_ms ?? terms.deadlineMs, terms.deadlineMs),
+			heldBytes: bytes + requestOverheadBytes,
 			waitingSince: now,
 			offset: 0,
-			avoid: new Map(),
+			avoidUntil: new Map(),
 		};
 	}
 
@@ -187,7 +187,7 @@
 		res: http.ServerResponse,
 	): void {
 		const run = this.opts.router.submit(request, template, sink);
-		res.on('close', () => run.callerLeft());
+		res.on('close', () => run.handleDisconnect());
 	}
 
 	private refuse(req: http.IncomingMessage, res: http.ServerResponse, err: unknown): void {
--- a/src/infra/callers/sinks.ts
+++ b/src/infra/callers/sinks.ts
@@ -23,8 +23,8 @@
 	) {}
 
 	abstract start(status: number, headers: Record<string, string>): void;
-	abstract events(events: readonly StreamEvent[]): boolean;
-	abstract bytes(chunk: Uint8Array): boolean;
+	abstract writeEvents(events: readonly StreamEvent[]): boolean;
+	abstract writeBytes(chunk: Uint8Array): boolean;
 	abstract finish(): void;
 
 	onDrain(resume: () => void): void {
@@ -71,7 +71,7 @@
 		this.passHead(status, headers, length === undefined);
 	}
 
-	events(events: readonly StreamEvent[]): boolean {
+	writeEvents(events: readonly StreamEvent[]): boolean {
 		let text = '';
 		for (const event of events) {
 			text += formatEvent(event);
@@ -79,7 +79,7 @@
 		return this.res.write(text);
 	}
 
-	bytes(chunk: Uint8Array): boolean {
+	writeBytes(chunk: Uint8Array): boolean {
 		return this.res.write(chunk);
 	}
 
@@ -130,7 +130,7 @@
 		}
 	}
 
-	events(events: readonly StreamEvent[]): boolean {
+	writeEvents(events: readonly StreamEvent[]): boolean {
 		for (const event of events) {
 			if (event.data !== doneData && !this.overflow) {
 				this.assembler.add(event.data);
@@ -140,7 +140,7 @@
 		return true;
 	}
 
-	bytes(chunk: Uint8Array): boolean {
+	writeBytes(chunk: Uint8Array): boolean {
 		return this.passing ? this.res.write(chunk) : true;
 	}
 
@@ -178,11 +178,11 @@
 		this.headers = headers;
 	}
 
-	events(events: readonly StreamEvent[]): boolean {
-		return this.bytes(Buffer.from(events.map(formatEvent).join('')));
+	writeEvents(events: readonly StreamEvent[]): boolean {
+		return this.writeBytes(Buffer.from(events.map(formatEvent).join('')));
 	}
 
-	bytes(chunk: Uint8Array): boolean {
+	writeBytes(chunk: Uint8Array): boolean {
 		if (this.streaming) {
 			return this.res.write(chunk);
 		}
--- a/src/infra/http-kv-store.ts
+++ b/src/infra/http-kv-store.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import * as undici from 'undici';
-import type { KvEntry, KvStore, KvSwap } from '../core/definitions.js';
+import type { KvEntry, KvStore, KvSwapResult } from '../core/definitions.js';
 import { KvError } from '../core/definitions.js';
 
 export interface HttpKvOptions {
@@ -24,7 +24,7 @@
 		this.pool = new undici.Pool(new URL(opts.url).origin, { connections: 16 });
 	}
 
-	get calls(): number {
+	get callCount(): number {
 		return this.made;
 	}
 
@@ -33,7 +33,12 @@
 		return entryOf(reply);
 	}
 
-	async swap(key: string, rev: number, value: string, leaseId?: string): Promise<KvSwap> {
+	async compareAndSwap(
+		key: string,
+		rev: number,
+		value: string,
+		leaseId?: string,
+	): Promise<KvSwapResult> {
 		const lease = leaseId === undefined ? '' : `&lease=${leaseId}`;
 		const path = `/kv/${encodeURIComponent(key)}?rev=${rev}${lease}`;
 		const reply = await this.call('PUT', path, value);
@@ -66,7 +71,7 @@
 		return reply.status === 200;
 	}
 
-	async endLease(id: string): Promise<void> {
+	async revokeLease(id: string): Promise<void> {
 		await this.call('DELETE', `/leases/${id}`);
 	}
 
--- a/src/infra/http-vm-list.ts
+++ b/src/infra/http-vm-list.ts
@@ -29,6 +29,6 @@
 		callersPort: Number(row.callers_port),
 		controlPort: Number(row.control_port),
 		domain: String(row.failure_domain),
-		leaving: row.state === 'leaving',
+		isLeaving: row.state === 'leaving',
 	};
 }
--- a/src/infra/http-weight-store.ts
+++ b/src/infra/http-weight-store.ts
@@ -3,8 +3,8 @@
  * @module
  */
 import * as undici from 'undici';
-import type { WeightAnswer, WeightStore } from '../core/definitions.js';
-import { weightAnswers } from '../core/definitions.js';
+import type { WeightLookupResult, WeightStore } from '../core/definitions.js';
+import { weightLookupResults } from '../core/definitions.js';
 
 export interface HttpWeightStoreOptions {
 	url: string;
@@ -14,18 +14,18 @@
 export class HttpWeightStore implements WeightStore {
 	constructor(private readonly opts: HttpWeightStoreOptions) {}
 
-	async find(name: string): Promise<WeightAnswer> {
+	async lookup(name: string): Promise<WeightLookupResult> {
 		const path = `${this.opts.url}/weights/${encodeURIComponent(name)}`;
 		try {
 			const signal = AbortSignal.timeout(this.opts.timeoutMs);
 			const res = await undici.request(path, { method: 'GET', signal });
 			await res.body.dump();
 			if (res.statusCode === 404) {
-				return weightAnswers.absent;
+				return weightLookupResults.absent;
 			}
-			return res.statusCode === 200 ? weightAnswers.present : weightAnswers.busy;
+			return res.statusCode === 200 ? weightLookupResults.present : weightLookupResults.busy;
 		} catch {
-			return weightAnswers.busy;
+			return weightLookupResults.busy;
 		}
 	}
 }
--- a/src/infra/peers/udp-transport.ts
+++ b/src/infra/peers/udp-transport.ts
@@ -46,7 +46,7 @@
 		bytesReceived: 0,
 		datagramsSent: 0,
 		datagramsReceived: 0,
-		refused: 0,
+		datagramsRejected: 0,
 	};
 	private readonly socket = dgram.createSocket({ type: 'udp4', recvBufferSize: receiveBuffer });
 	private readonly secret: crypto.KeyObject;
@@ -124,7 +124,7 @@
 		this.traffic.bytesReceived += datagram.length + headBytes;
 		const batch = codec.decodeBatch(datagram, this.secret);
 		if (!batch) {
-			this.traffic.refused++;
+			this.traffic.datagramsRejected++;
 			return;
 		}
 		if (this.opts.isCut?.(batch.from)) {
--- a/src/infra/undici-endpoint-client.ts
+++ b/src/infra/undici-endpoint-client.ts
@@ -38,7 +38,7 @@
 		return handler;
 	}
 
-	async load(url: string): Promise<LoadReport> {
+	async fetchLoad(url: string): Promise<LoadReport> {
 		const res = await this.pool(url).request({
 			method: 'GET',
 			path: '/load',
@@ -48,7 +48,7 @@
 		return {
 			running: Number(row.running),
 			waiting: Number(row.waiting),
-			leaving: row.leaving === true,
+			isDraining: row.leaving === true,
 		};
 	}
 
@@ -138,7 +138,7 @@
 		if (plain['content-type']?.startsWith('text/event-stream')) {
 			this.parser = eventsource.createParser({ onEvent: (event) => this.keep(event) });
 		}
-		this.sink.head(status, plain);
+		this.sink.onHead(status, plain);
 	}
 
 	onResponseData(_controller: undici.Dispatcher.DispatchController, chunk: Buffer): void {
@@ -146,14 +146,14 @@
 			return;
 		}
 		if (!this.parser) {
-			this.sink.bytes(chunk);
+			this.sink.onBytes(chunk);
 			return;
 		}
 		this.parser.feed(this.decoder.decode(chunk, { stream: true }));
 		if (this.parsed.length > 0) {
 			const events = this.parsed;
 			this.parsed = [];
-			this.sink.events(events);
+			this.sink.onEvents(events);
 		}
 		if (this.paused) {
 			this.controller?.pause();
@@ -163,14 +163,14 @@
 	onResponseEnd(): void {
 		if (!this.done) {
 			this.done = true;
-			this.sink.end();
+			this.sink.onEnd();
 		}
 	}
 
 	onResponseError(_controller: undici.Dispatcher.DispatchController, err: Error): void {
 		if (!this.done) {
 			this.done = true;
-			this.sink.fail(this.sent ? callFailures.broken : callFailures.notSent, err.message);
+			this.sink.onError(this.sent ? callFailures.broken : callFailures.notSent, err.message);
 		}
 	}
 
--- a/test/fuzz/fakes.ts
+++ b/test/fuzz/fakes.ts
@@ -10,7 +10,7 @@
 	EndpointClient,
 	KvEntry,
 	KvStore,
-	KvSwap,
+	KvSwapResult,
 	LoadReport,
 	Metrics,
 	RunningCall,
@@ -57,7 +57,7 @@
 		const run: FakeRun = { call, sink, index: call.offset, over: false };
 		if (this.down.has(call.url)) {
 			run.over = true;
-			queueMicrotask(() => sink.fail(callFailures.notSent, 'down'));
+			queueMicrotask(() => sink.onError(callFailures.notSent, 'down'));
 		} else {
 			this.runs.push(run);
 			this.reached.set(call.id, (this.reached.get(call.id) ?? 0) + 1);
@@ -68,8 +68,8 @@
 		return { pause: () => {}, resume: () => {}, cancel };
 	}
 
-	load(): Promise<LoadReport> {
-		return Promise.resolve({ running: 0, waiting: 0, leaving: false });
+	fetchLoad(): Promise<LoadReport> {
+		return Promise.resolve({ running: 0, waiting: 0, isDraining: false });
 	}
 
 	order(): Promise<number> {
@@ -86,25 +86,25 @@
 
 	/** Gives one token, or the end. */
 	advance(run: FakeRun): void {
-		run.sink.head(200, { 'content-type': 'text/event-stream' });
+		run.sink.onHead(200, { 'content-type': 'text/event-stream' });
 		if (run.index < answerTokens) {
 			run.index++;
-			run.sink.events([{ data: `t${run.index - 1}`, offset: run.index }]);
+			run.sink.onEvents([{ data: `t${run.index - 1}`, offset: run.index }]);
 			return;
 		}
 		run.over = true;
-		run.sink.events([{ data: '[DONE]' }]);
-		run.sink.end();
+		run.sink.onEvents([{ data: '[DONE]' }]);
+		run.sink.onEnd();
 	}
 
 	break(run: FakeRun): void {
 		run.over = true;
-		run.sink.fail(callFailures.broken, 'cut');
+		run.sink.onError(callFailures.broken, 'cut');
 	}
 }
 
 export class FakeKv implements KvStore {
-	calls = 0;
+	callCount = 0;
 	down = false;
 	loseReplies = 0;
 	private readonly entries = new Map<string, KvEntry>();
@@ -115,7 +115,7 @@
 		return this.entries.get(key);
 	}
 
-	async swap(key: string, rev: number, value: string): Promise<KvSwap> {
+	async compareAndSwap(key: string, rev: number, value: string): Promise<KvSwapResult> {
 		this.check();
 		const current = this.entries.get(key);
 		if ((current?.rev ?? 0) !== rev) {
@@ -142,7 +142,7 @@
 		return Promise.resolve(true);
 	}
 
-	async endLease(): Promise<void> {}
+	async revokeLease(): Promise<void> {}
 
 	/** A lease lapsed. */
 	drop(key: string): void {
@@ -150,7 +150,7 @@
 	}
 
 	private check(): void {
-		this.calls++;
+		this.callCount++;
 		if (this.down) {
 			throw new KvError('down');
 		}
--- a/test/fuzz/fleet-model.ts
+++ b/test/fuzz/fleet-model.ts
@@ -56,7 +56,7 @@
 
 	start(): void {}
 
-	events(events: readonly StreamEvent[]): boolean {
+	writeEvents(events: readonly StreamEvent[]): boolean {
 		assert.equal(this.outcome, undefined, 'an answer went on after its end');
 		this.tokens.push(
 			...events.filter((event) => event.data !== '[DONE]').map((event) => event.data),
@@ -64,7 +64,7 @@
 		return true;
 	}
 
-	bytes(): boolean {
+	writeBytes(): boolean {
 		return true;
 	}
 
@@ -149,15 +149,15 @@
 			weight: 1,
 			target: 'model:m',
 			repeatable: known.repeatable,
-			key,
+			idempotencyKey: key,
 			arrivedAt: now,
 			firstTokenBy: now + known.first_token_ms,
 			deadlineAt: now + known.deadline_ms,
-			patientUntil: now + known.deadline_ms,
-			bytes: 10,
+			queueTimeoutAt: now + known.deadline_ms,
+			heldBytes: 10,
 			waitingSince: now,
 			offset: 0,
-			avoid: new Map(),
+			avoidUntil: new Map(),
 		};
 		const caller = new Caller();
 		this.asked.push({ req, caller, node });
@@ -172,7 +172,7 @@
 			this.clock.now = Math.min(this.clock.now + 25, until);
 			for (const node of this.nodes) {
 				if (node.alive && !node.frozen) {
-					node.router.sweep();
+					node.router.shedExpired();
 				}
 			}
 			await this.settle();
@@ -326,9 +326,9 @@
 	private checkKeys(): void {
 		const reached = new Map<string, number>();
 		for (const { req } of this.asked) {
-			if (req.key !== undefined && !req.repeatable) {
+			if (req.idempotencyKey !== undefined && !req.repeatable) {
 				const count = this.endpoints.reached.get(req.id) ?? 0;
-				reached.set(req.key, (reached.get(req.key) ?? 0) + count);
+				reached.set(req.idempotencyKey, (reached.get(req.idempotencyKey) ?? 0) + count);
 			}
 		}
 		for (const [key, count] of reached) {
@@ -414,8 +414,8 @@
 			timeline,
 			limits: { requests: 100, bytes: 100_000 },
 			stallMs: 1000,
-			attachElsewhere: (holder) => this.attachElsewhere(holder),
-			soon: (callback) => void node.due.push(callback),
+			fetchPeerAnswer: (holder) => this.attachElsewhere(holder),
+			defer: (callback) => void node.due.push(callback),
 		});
 		const indexOf = (name: string) => this.nodes.findIndex((other) => other.id === name);
 		node.desk = new OwnedLedgers({
@@ -433,7 +433,7 @@
 			ownerOf: (endpoint) => node.desk.ownerOf(endpoint),
 			preempt: (ticket) => node.router.preempt(ticket),
 			isPreemptable: (ticket) => node.router.isPreemptable(ticket),
-			wake: () => node.router.pumpSoon(),
+			wake: () => node.router.scheduleDispatch(),
 			firstSeq: 1,
 		});
 		return node;
