--- a/src/core/definitions.ts
+++ b/src/core/definitions.ts
@@ -1,34 +1,32 @@
 /**
- * Ports: everything a daemon meets outside its own logic. Adapters live in `src/infra`.
+ * Ports to the clock, the platform's services and endpoints. Adapters live in `src/infra`.
  * @module
  */
 
-/** Time. */
 export interface Clock {
-	/** Milliseconds that never go back, from an arbitrary start. While the VM is suspended they stand still. */
+	/** Monotonic milliseconds from an arbitrary start. Does not advance while the VM is suspended. */
 	monotonic(): number;
 	/**
-	 * The same with the time counted for which the VM was suspended: for leases, deadlines and the age of what is known, which
-	 * run on meanwhile. A step of the VM's time of day may count too.
+	 * As `monotonic`, but advances while the VM is suspended: for leases, deadlines and the age of
+	 * data. Steps of the wall clock may be included.
 	 */
 	sinceBoot(): number;
-	/** Milliseconds since 1970, as the VM's clock has it. */
+	/** Milliseconds since the Unix epoch, by the VM's wall clock. */
 	wall(): number;
 }
 
-/** Random numbers. */
 export interface Random {
-	/** A number from 0 up to, not including, 1. */
+	/** Returns a number in [0, 1). */
 	next(): number;
-	/** Random bytes as hex digits. */
+	/** Returns random bytes as hex digits. */
 	hex(bytes: number): string;
 }
 
-/** Values that a log line or an event may carry. */
+/** Value of a field in a log line or timeline event. */
 export type FieldValue = string | number | boolean | undefined;
 export type Fields = Record<string, FieldValue>;
 
-/** Structured log, one line an event. */
+/** Structured log with one line per event. */
 export interface Log {
 	debug(event: string, fields?: Fields): void;
 	info(event: string, fields?: Fields): void;
@@ -36,44 +34,43 @@
 	error(event: string, fields?: Fields): void;
 }
 
-/** Metrics; names and units are listed in docs/METRICS.md. */
+/** Names and units are documented in docs/METRICS.md. */
 export interface Metrics {
 	count(name: string, value: number, tags?: Record<string, string>): void;
-	/** Milliseconds. */
 	timing(name: string, ms: number, tags?: Record<string, string>): void;
 	gauge(name: string, value: number, tags?: Record<string, string>): void;
 }
 
-/** Value of the key-value service with its revision. */
+/** A value in the key-value service with its revision. */
 export interface KvEntry {
 	value: string;
-	/** Grows with every change of the key; 0 stands for "absent". */
+	/** Increases with every change of the key; 0 means absent. */
 	rev: number;
 }
 
-/** Answer to a compare-and-swap. */
+/** Result of a compare-and-swap; `current` is the entry that prevented it. */
 export type KvSwapResult = { swapped: true; rev: number } | { swapped: false; current?: KvEntry };
 
-/** The platform's key-value service. Every method rejects with `KvError` when it is down. */
+/** The platform's key-value service. All methods reject with `KvError` when it is unavailable. */
 export interface KvStore {
 	get(key: string): Promise<KvEntry | undefined>;
-	/** Writes only if the key still has revision `rev`; 0 for "must be absent". */
+	/** Writes only if the key has revision `rev`; 0 requires the key to be absent. */
 	compareAndSwap(key: string, rev: number, value: string, leaseId?: string): Promise<KvSwapResult>;
-	/** Resolves when the key has a revision above `rev`, or with the same entry after the wait. */
+	/** Resolves once the key has a revision above `rev`, or with the current entry after `waitMs`. */
 	watch(key: string, rev: number, waitMs: number): Promise<KvEntry | undefined>;
-	/** Makes a lease and returns its id. */
+	/** Resolves with the id of the new lease. */
 	grantLease(ttlMs: number): Promise<string>;
-	/** Renews; false when the lease has lapsed. */
+	/** Resolves with false if the lease has expired. */
 	renewLease(id: string): Promise<boolean>;
 	revokeLease(id: string): Promise<void>;
-	/** Calls made since the start, waiting watches counted. */
+	/** Calls made since the start, pending watches included. */
 	readonly callCount: number;
 }
 
-/** A call to the key-value service that brought no answer: its effect is not known. */
+/** A call to the key-value service got no answer; whether it took effect is unknown. */
 export class KvError extends Error {}
 
-/** One VM of the platform's list. */
+/** A VM in the platform's list. */
 export interface VmEntry {
 	id: string;
 	address: string;
@@ -83,93 +80,92 @@
 	isLeaving: boolean;
 }
 
-/** The platform's VM list; it lags. */
+/** The platform's VM list; may be out of date. */
 export interface VmList {
 	list(): Promise<VmEntry[]>;
 }
 
-/** Answers of the weight store to a question for weights. */
+/** Whether the weight store has some weights; `busy` if it did not say. */
 export const weightLookupResults = { present: 'present', absent: 'absent', busy: 'busy' } as const;
 export type WeightLookupResult = (typeof weightLookupResults)[keyof typeof weightLookupResults];
 
-/** The platform's weight store; rate-limited. */
+/** The platform's weight store; rate limited. */
 export interface WeightStore {
-	/** Whether it has weights of this name. */
+	/** Checks whether weights of this name exist. */
 	lookup(name: string): Promise<WeightLookupResult>;
 }
 
-/** How a call to an endpoint failed. */
+/** Reasons for which a call to an endpoint fails. */
 export const callFailures = {
-	/** No byte of the request left. */
+	/** No byte of the request was sent. */
 	notSent: 'not-sent',
-	/** A byte may have left, and the answer did not end. */
+	/** Some of the request may have been sent, and the answer is incomplete. */
 	broken: 'broken',
-	/** The endpoint answered that it takes no work. */
+	/** The endpoint answered that it accepts no work. */
 	refused: 'refused',
 } as const;
 export type CallFailure = (typeof callFailures)[keyof typeof callFailures];
 
-/** A request as it goes to an endpoint. */
+/** One call to an endpoint. */
 export interface EndpointCall {
-	/** The daemon's own id of the request. */
+	/** Id of the request, assigned by the daemon. */
 	id: string;
 	url: string;
 	method: string;
 	path: string;
 	headers: Record<string, string>;
 	body?: Uint8Array;
-	/** Passed on to engines: 0 is served first. */
+	/** Forwarded to engines, which serve 0 first. */
 	priority: number;
-	/** Tokens that the caller already has; the stream goes on behind them. */
+	/** Tokens that the caller has received; the stream resumes after them. */
 	offset: number;
-	/** An answer that brings nothing for so long is broken, in milliseconds. */
+	/** The call fails as broken after this time without data. */
 	stallMs: number;
 }
 
 /** One event of a streamed answer. */
 export interface StreamEvent {
 	data: string;
-	/** Offset behind this event's token, where the endpoint gives one. */
+	/** Offset after this event's token, if the endpoint sends one. */
 	offset?: number;
 }
 
-/** Receives an answer. Exactly one of `end` and `fail` is called last. */
+/** Receives an answer. The last call is either `onEnd` or `onError`. */
 export interface AnswerSink {
 	onHead(status: number, headers: Record<string, string>): void;
-	/** Whole events of a streamed answer. */
+	/** Complete events of a streamed answer. */
 	onEvents(events: StreamEvent[]): void;
-	/** Bytes of any other answer. */
+	/** Body bytes of any other answer. */
 	onBytes(chunk: Uint8Array): void;
 	onEnd(): void;
 	onError(failure: CallFailure, detail: string): void;
 }
 
-/** A call on its way. */
+/** A call in progress. */
 export interface RunningCall {
-	/** Stops reading until `resume`; the endpoint feels it. */
+	/** Stops reading until `resume`, so that backpressure reaches the endpoint. */
 	pause(): void;
 	resume(): void;
-	/** Ends the call; the sink hears nothing more. */
+	/** Cancels the call; the sink is not called any more. */
 	cancel(): void;
 }
 
-/** Load that an endpoint reports; it lags. */
+/** Load reported by an endpoint; may be out of date. */
 export interface LoadReport {
 	running: number;
 	waiting: number;
 	isDraining: boolean;
 }
 
-/** Endpoints. */
 export interface EndpointClient {
 	open(call: EndpointCall, sink: AnswerSink): RunningCall;
 	fetchLoad(url: string): Promise<LoadReport>;
-	/** Gives an order; resolves with the HTTP status. */
+	/** Sends an order; resolves with the HTTP status. */
 	order(url: string, order: EndpointOrder, timeoutMs: number): Promise<number>;
 	close(): Promise<void>;
 }
 
-/** Orders that endpoints take. */
+/** Orders that endpoints accept. */
 export const orderKinds = [
 	'drain',
 	'undrain',
@@ -180,7 +176,7 @@
 ] as const;
 export type OrderKind = (typeof orderKinds)[number];
 
-/** An order to an endpoint, given under a lease with a fencing token. */
+/** An order to an endpoint, sent under a lease with a fencing token. */
 export interface EndpointOrder {
 	kind: OrderKind;
 	argument: string;
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -1,18 +1,17 @@
 /**
- * Messages between daemons.
+ * Messages between daemons and the port that carries them.
  * @module
  */
 import type { MembershipMessage } from './membership/types.js';
 import type { HolderReport, OwnerReply } from './scheduling/types.js';
 import type { HybridTime } from './timeline/index.js';
 
-/** One message. */
 export type PeerMessage =
 	| { type: 'membership'; body: MembershipMessage }
 	| { type: 'report'; body: HolderReport }
 	| { type: 'reply'; body: OwnerReply };
 
-/** Messages of one sender, sent together. */
+/** Messages of one sender that share a datagram. */
 export interface PeerBatch {
 	from: string;
 	time: HybridTime;
@@ -26,19 +25,19 @@
 	port: number;
 }
 
-/** Bytes and datagrams, IP and UDP heads included. */
+/** Traffic counters; bytes include IP and UDP headers. */
 export interface PeerTraffic {
 	bytesSent: number;
 	bytesReceived: number;
 	datagramsSent: number;
 	datagramsReceived: number;
-	/** Datagrams that were not signed by a peer or could not be read. */
+	/** Datagrams without a valid signature or with unreadable content. */
 	datagramsRejected: number;
 }
 
-/** Carries messages between daemons; may lose, double and reorder them. */
+/** Carries messages between daemons; may lose, duplicate and reorder them. */
 export interface PeerTransport {
-	/** Collected with other messages to the same peer for a moment. */
+	/** Queues a message; messages to the same peer are batched for a short time. */
 	send(to: PeerAddress, message: PeerMessage): void;
 	readonly traffic: PeerTraffic;
 }
--- a/src/core/requests/active-request.ts
+++ b/src/core/requests/active-request.ts
@@ -1,5 +1,6 @@
 /**
- * One request from its admission to its outcome: claims, dispatch, relay, resume.
+ * One request from admission to outcome: claims its key, dispatches it to endpoints, forwards the
+ * answer, and retries or resumes after failures.
  * @module
  */
 import type { ClaimRecord, ClaimStore } from '../claims/claims.js';
@@ -27,16 +28,16 @@
 import type { Request } from './types.js';
 import { outcomes } from './types.js';
 
-/** Runs of one request, resumes included. */
+/** Attempts per request, resumes included. */
 const maxAttempts = 6;
-/** Priority for work outside the limit; endpoints serve 0 first. */
+/** Priority of requests in reserved slots; endpoints serve 0 first. */
 const floorPriority = 1000;
-/** An endpoint that failed a request is passed over by it for so long, in milliseconds. */
-const avoidMs = 1000;
-/** Statuses by which an engine says that it takes no work now. */
-const refusals = new Set([429, 503]);
+/** How long a request avoids an endpoint that failed it. */
+const avoidEndpointMs = 1000;
+/** Statuses with which an engine refuses work for now. */
+const refusalStatuses = new Set([429, 503]);
 
-/** What a run asks of its daemon. */
+/** What an active request needs from its daemon. */
 export interface ActiveRequestHost {
 	readonly clock: Clock;
 	readonly endpoints: EndpointClient;
@@ -45,18 +46,18 @@
 	readonly timeline: Timeline;
 	readonly vm: string;
 	readonly stallMs: number;
-	/** Base URL of an endpoint, undefined when it must not be given work. */
+	/** Base URL of an endpoint; undefined if nothing may be dispatched to it. */
 	dispatchUrl(endpoint: string): string | undefined;
-	/** The run wants a slot again. */
-	requeue(run: ActiveRequest): void;
-	/** The run gave its slot back. */
-	releaseSlot(run: ActiveRequest, slot: Slot, result: RunResult): void;
-	recordInterTokenLatency(run: ActiveRequest, slot: Slot, gapMs: number): void;
-	/** The run has its outcome. */
-	finish(run: ActiveRequest, outcome: string, tokens: number): void;
-	/** Seconds after which a caller should come back. */
+	/** Queues the request again. */
+	requeue(active: ActiveRequest): void;
+	/** Returns the slot of an attempt that has ended. */
+	releaseSlot(active: ActiveRequest, slot: Slot, result: RunResult): void;
+	recordInterTokenLatency(active: ActiveRequest, slot: Slot, interTokenMs: number): void;
+	/** Removes a request that has its outcome. */
+	finish(active: ActiveRequest, outcome: string, tokens: number): void;
+	/** Seconds after which the caller should retry. */
 	retryAfterS(req: Request): number;
-	/** Answer of the attempt that holds a claim; undefined when it cannot be reached. */
+	/** Answer of the attempt that holds a claim; undefined if it is not available. */
 	fetchAnswer(holder: ClaimRecord): Promise<StoredAnswer | undefined>;
 }
 
@@ -64,17 +65,17 @@
 	private slot?: Slot;
 	private call?: RunningCall;
 	private attempts = 0;
-	private over = false;
-	/** A byte of the request may have reached an endpoint. */
+	private ended = false;
+	/** An endpoint may have received some of the request. */
 	private mayHaveRun = false;
-	/** The same, before the attempt that runs. */
-	private mayHaveRunBefore = false;
-	private started = false;
+	/** Value of `mayHaveRun` before the current attempt. */
+	private mayHaveRunEarlier = false;
+	private hasAnswerStarted = false;
 	private status = 0;
-	private bytesForwarded = false;
+	private hasForwardedBytes = false;
 	private readonly stream: AnswerStream;
 	private readonly timeline: RequestTimeline;
-	private pace = new TokenTiming(0);
+	private timing = new TokenTiming(0);
 
 	constructor(
 		readonly req: Request,
@@ -88,10 +89,10 @@
 	}
 
 	get hasEnded(): boolean {
-		return this.over;
+		return this.ended;
 	}
 
-	/** Tokens given to the caller. */
+	/** Tokens forwarded to the caller. */
 	get forwardedTokens(): number {
 		return this.stream.totalTokens;
 	}
@@ -100,71 +101,71 @@
 		return this.slot;
 	}
 
-	/** May be cut off and resumed later without loss. */
+	/** Whether the request can be cancelled now and resumed later without loss. */
 	get isPreemptable(): boolean {
 		return this.req.repeatable && this.template.streamed && this.stream.isResumable;
 	}
 
-	/** Runs in a slot; claims first where that is needed. */
+	/** Starts an attempt in a slot. A keyed request that must not be repeated is claimed first. */
 	async start(slot: Slot): Promise<void> {
 		this.slot = slot;
 		this.attempts++;
 		if (this.req.idempotencyKey !== undefined && !this.req.repeatable) {
-			const claimed = await this.claim(this.req.idempotencyKey);
-			if (!claimed || this.over) {
+			const claimed = await this.acquireClaim(this.req.idempotencyKey);
+			if (!claimed || this.ended) {
 				return;
 			}
 		}
 		this.dispatch(slot);
 	}
 
-	/** The caller left. What must run once goes on, for a second arrival with its key. */
+	/** Cancels the request, unless it was dispatched and its answer is recorded for a retry. */
 	handleDisconnect(): void {
-		if (this.over) {
+		if (this.ended) {
 			return;
 		}
 		if (this.recording && this.call) {
 			this.recording.detach();
 			return;
 		}
-		this.over = true;
+		this.ended = true;
 		this.recording?.abandon();
 		this.call?.cancel();
-		this.release(false, true);
+		this.releaseSlot(false, true);
 		this.host.finish(this, 'caller-left', this.stream.totalTokens);
 	}
 
-	/** Given up while it waits; the final answer goes out at once. */
+	/** Fails a queued request. */
 	shed(data: errors.ErrorData): void {
-		if (this.over || this.slot) {
+		if (this.ended || this.slot) {
 			return;
 		}
 		this.timeline.record(eventKinds.requestShed, { reason: data.name });
 		const retryAfterS = this.host.retryAfterS(this.req);
-		this.finishWith(new errors.UserError(data, [], { retryAfterS }));
+		this.finishWithError(new errors.UserError(data, [], { retryAfterS }));
 	}
 
-	/** Cut off for work of a higher tier; waits again and resumes. */
+	/** Cancels the attempt in favour of a higher tier; the request is queued again and resumes. */
 	preempt(): boolean {
-		if (!this.slot || this.over || !this.call || !this.isPreemptable) {
+		if (!this.slot || this.ended || !this.call || !this.isPreemptable) {
 			return false;
 		}
 		this.call.cancel();
 		this.timeline.record(eventKinds.requestPreempted, { endpoint: this.slot.endpoint });
-		this.release(false, true);
-		this.waitAgain();
+		this.releaseSlot(false, true);
+		this.requeue();
 		return true;
 	}
 
 	onHead(status: number, headers: Record<string, string>): void {
 		this.status = status;
-		if (refusals.has(status) && this.template.streamed && this.req.repeatable) {
+		if (refusalStatuses.has(status) && this.template.streamed && this.req.repeatable) {
 			this.call?.cancel();
-			this.failed(callFailures.refused, `status ${status}`);
+			this.handleFailure(callFailures.refused, `status ${status}`);
 			return;
 		}
-		if (!this.started) {
-			this.started = true;
+		if (!this.hasAnswerStarted) {
+			this.hasAnswerStarted = true;
 			this.sink.start(status, headers);
 			this.sink.onDrain(() => this.call?.resume());
 		}
@@ -175,45 +176,45 @@
 		if (ready.length === 0) {
 			return;
 		}
-		this.noteTokens();
+		this.recordTokens();
 		if (!this.sink.writeEvents(ready)) {
 			this.call?.pause();
 		}
 	}
 
 	onBytes(chunk: Uint8Array): void {
-		this.bytesForwarded = true;
+		this.hasForwardedBytes = true;
 		if (!this.sink.writeBytes(chunk)) {
 			this.call?.pause();
 		}
 	}
 
 	onEnd(): void {
-		const whole = !this.template.streamed || this.stream.isDone || this.status >= 400;
-		if (!whole) {
-			this.failed(callFailures.broken, 'the stream ended early');
+		const isComplete = !this.template.streamed || this.stream.isDone || this.status >= 400;
+		if (!isComplete) {
+			this.handleFailure(callFailures.broken, 'the stream ended early');
 			return;
 		}
 		const rest = this.stream.flush();
 		if (rest.length > 0) {
 			this.sink.writeEvents(rest);
 		}
-		this.over = true;
-		this.release(false, false);
+		this.ended = true;
+		this.releaseSlot(false, false);
 		this.sink.finish();
 		this.recordEnd(outcomes.complete);
 	}
 
 	onError(failure: CallFailure, detail: string): void {
-		this.failed(failure, detail);
+		this.handleFailure(failure, detail);
 	}
 
 	private dispatch(slot: Slot): void {
 		const url = this.host.dispatchUrl(slot.endpoint);
 		if (url === undefined) {
-			this.release(false, true);
+			this.releaseSlot(false, true);
 			this.attempts--;
-			this.waitAgain();
+			this.requeue();
 			return;
 		}
 		this.resetAttempt();
@@ -240,94 +241,96 @@
 
 	private resetAttempt(): void {
 		this.stream.beginAttempt();
-		this.pace = new TokenTiming(this.host.clock.monotonic());
-		this.mayHaveRunBefore = this.mayHaveRun;
+		this.timing = new TokenTiming(this.host.clock.monotonic());
+		this.mayHaveRunEarlier = this.mayHaveRun;
 		this.mayHaveRun = true;
 	}
 
-	private noteTokens(): void {
+	private recordTokens(): void {
 		const now = this.host.clock.monotonic();
-		if (this.pace.recordTokens(this.stream.attemptTokens, now)) {
+		if (this.timing.recordTokens(this.stream.attemptTokens, now)) {
 			const value = Math.round(now - this.req.arrivedAt);
 			this.timeline.record(eventKinds.requestFirstToken, { endpoint: this.slot?.endpoint, value });
 		}
-		const gapMs = this.pace.sampleInterTokenMs(this.stream.attemptTokens, now);
-		if (gapMs !== undefined && this.slot) {
-			this.host.recordInterTokenLatency(this, this.slot, gapMs);
+		const interTokenMs = this.timing.sampleInterTokenMs(this.stream.attemptTokens, now);
+		if (interTokenMs !== undefined && this.slot) {
+			this.host.recordInterTokenLatency(this, this.slot, interTokenMs);
 		}
 	}
 
-	private async claim(key: string): Promise<boolean> {
+	private async acquireClaim(key: string): Promise<boolean> {
 		const record = { attempt: this.req.id, vm: this.host.vm };
 		const claim = await this.host.claims.claim(this.req.customer, key, record);
 		if (claim.result === claimResults.taken) {
 			this.timeline.record(eventKinds.claimTaken);
 			return true;
 		}
-		if (this.over) {
+		if (this.ended) {
 			return false;
 		}
 		this.timeline.record(eventKinds.claimRefused, { reason: claim.result });
-		this.release(false, true);
+		this.releaseSlot(false, true);
 		if (claim.result === claimResults.held) {
-			await this.attach(claim.holder);
+			await this.replayAnswerOf(claim.holder);
 		} else {
-			this.finishWith(new errors.UserError(errors.data.ClaimUnavailable, [], { retryAfterS: 1 }));
+			this.finishWithError(
+				new errors.UserError(errors.data.ClaimUnavailable, [], { retryAfterS: 1 }),
+			);
 		}
 		return false;
 	}
 
-	/** Another attempt ran or runs: its answer is this caller's, too, if it can be reached. */
-	private async attach(holder: ClaimRecord): Promise<void> {
+	/** Sends the caller the answer of the attempt that holds the claim, if it is available. */
+	private async replayAnswerOf(holder: ClaimRecord): Promise<void> {
 		this.mayHaveRun = true;
 		const answer = await this.host.fetchAnswer(holder);
-		if (this.over) {
+		if (this.ended) {
 			return;
 		}
 		if (!answer) {
-			this.finishWith(new errors.UserError(errors.data.ClaimedElsewhere));
+			this.finishWithError(new errors.UserError(errors.data.ClaimedElsewhere));
 			return;
 		}
-		this.over = true;
+		this.ended = true;
 		this.recordEnd(replayAnswer(answer, this.sink));
 	}
 
-	private failed(failure: CallFailure, detail: string): void {
+	private handleFailure(failure: CallFailure, detail: string): void {
 		const endpoint = this.slot?.endpoint ?? '';
-		const sent = failure !== callFailures.notSent;
-		this.mayHaveRun = this.mayHaveRunBefore || sent;
-		this.release(true, false);
+		const wasSent = failure !== callFailures.notSent;
+		this.mayHaveRun = this.mayHaveRunEarlier || wasSent;
+		this.releaseSlot(true, false);
 		this.call = undefined;
-		this.req.avoidUntil.set(endpoint, this.host.clock.monotonic() + avoidMs);
+		this.req.avoidUntil.set(endpoint, this.host.clock.monotonic() + avoidEndpointMs);
 		this.timeline.record(eventKinds.requestFailed, { endpoint, reason: `${failure}: ${detail}` });
-		if (this.mayGoOn(sent)) {
+		if (this.canRetry(wasSent)) {
 			this.timeline.record(eventKinds.requestResumed, { value: this.req.offset });
-			this.waitAgain();
+			this.requeue();
 			return;
 		}
-		this.finishWith(new errors.UserError(this.finalError()));
+		this.finishWithError(new errors.UserError(this.finalError()));
 	}
 
-	/** After a failure: may the request be given to an endpoint again? */
-	private mayGoOn(sent: boolean): boolean {
-		const safe = !sent || this.req.repeatable;
-		const resumable = !this.bytesForwarded && !this.stream.hasForwardedWithoutOffsets;
-		// Going on behind what the caller has is no second request: the budget is for those.
-		const allowed = this.req.offset > 0 || this.host.retryBudget.tryConsume();
-		return safe && resumable && this.attempts < maxAttempts && allowed;
+	/** Whether another attempt is allowed after a failure. */
+	private canRetry(wasSent: boolean): boolean {
+		const isSafe = !wasSent || this.req.repeatable;
+		const isResumable = !this.hasForwardedBytes && !this.stream.hasForwardedWithoutOffsets;
+		// A resumed attempt continues the same answer, so it is not charged to the retry budget.
+		const isInBudget = this.req.offset > 0 || this.host.retryBudget.tryConsume();
+		return isSafe && isResumable && this.attempts < maxAttempts && isInBudget;
 	}
 
 	private finalError(): errors.ErrorData {
-		if (this.started) {
+		if (this.hasAnswerStarted) {
 			return errors.data.AnswerIncomplete;
 		}
 		return this.mayHaveRun ? errors.data.OutcomeUnknown : errors.data.EndpointUnavailable;
 	}
 
-	private finishWith(err: errors.UserError): void {
-		this.over = true;
-		const unstarted = this.mayHaveRun ? outcomes.unknown : outcomes.notRun;
-		const outcome = this.started ? outcomes.incomplete : unstarted;
+	private finishWithError(err: errors.UserError): void {
+		this.ended = true;
+		const outcomeBeforeAnswer = this.mayHaveRun ? outcomes.unknown : outcomes.notRun;
+		const outcome = this.hasAnswerStarted ? outcomes.incomplete : outcomeBeforeAnswer;
 		this.sink.fail(err, outcome);
 		this.recordEnd(outcome, err.name);
 	}
@@ -338,19 +341,19 @@
 		this.host.finish(this, outcome, this.stream.totalTokens);
 	}
 
-	private waitAgain(): void {
+	private requeue(): void {
 		this.call = undefined;
 		this.req.waitingSince = this.host.clock.monotonic();
 		this.host.requeue(this);
 	}
 
-	private release(failed: boolean, cancelled: boolean): void {
+	private releaseSlot(failed: boolean, cancelled: boolean): void {
 		const slot = this.slot;
 		if (!slot) {
 			return;
 		}
 		this.slot = undefined;
-		const { firstTokenMs, streamedMs } = this.pace;
+		const { firstTokenMs, streamedMs } = this.timing;
 		const result = {
 			firstTokenMs,
 			tokens: this.stream.attemptTokens,
--- a/src/core/requests/answer-store.ts
+++ b/src/core/requests/answer-store.ts
@@ -1,6 +1,6 @@
 /**
- * Answers of requests that must run once, kept while they run and a little after, so that a
- * second arrival with the same key gets the same answer.
+ * Stores the answers of requests that must run only once, so that a repeated request with the same
+ * idempotency key gets the same answer.
  * @module
  */
 import type { Clock, StreamEvent } from '../definitions.js';
@@ -9,27 +9,26 @@
 import type { Outcome } from './types.js';
 import { outcomes } from './types.js';
 
-/** Largest answer kept, in bytes. */
-const maxBytes = 256 * 1024;
-/** Answers kept after their end, in milliseconds. */
-const keepMs = 120_000;
-/** Answers kept at the most. */
+/** Larger answers are not stored. */
+const maxAnswerBytes = 256 * 1024;
+/** How long an answer is kept after its end. */
+const retentionMs = 120_000;
 const maxAnswers = 1000;
 
-/** A whole answer. */
+/** A complete answer. */
 export interface StoredAnswer {
 	status: number;
 	headers: Record<string, string>;
-	/** Body of an answer that is not a stream. */
+	/** Body of an answer that is not an event stream; empty otherwise. */
 	body: Uint8Array;
-	/** Events of a stream. */
+	/** Events of an event stream; empty otherwise. */
 	events: StreamEvent[];
 }
 
 interface Entry {
-	/** Undefined for an answer that was not whole or too large. */
+	/** Resolves with undefined if the answer is incomplete or too large. */
 	answer: Promise<StoredAnswer | undefined>;
-	keptUntil: number;
+	expiresAt: number;
 }
 
 export class AnswerStore {
@@ -37,96 +36,96 @@
 
 	constructor(private readonly clock: Clock) {}
 
-	/** Wraps a caller's sink so that its answer is kept under the request's id. */
+	/** Wraps a caller's sink so that its answer is stored under the request's id. */
 	record(id: string, inner: CallerSink): RecordingSink {
-		this.forgetOld();
+		this.evictExpired();
 		const sink = new RecordingSink(inner);
-		const entry = { answer: sink.answer, keptUntil: Number.POSITIVE_INFINITY };
+		const entry = { answer: sink.answer, expiresAt: Number.POSITIVE_INFINITY };
 		this.entries.set(id, entry);
 		void sink.answer.then(() => {
-			entry.keptUntil = this.clock.monotonic() + keepMs;
+			entry.expiresAt = this.clock.monotonic() + retentionMs;
 		});
 		return sink;
 	}
 
-	/** The answer of a request when it has ended; undefined when it is not known here. */
+	/** Resolves with the answer of a request once it has ended; undefined if it is not stored here. */
 	wait(id: string): Promise<StoredAnswer | undefined> {
 		return this.entries.get(id)?.answer ?? Promise.resolve(undefined);
 	}
 
-	private forgetOld(): void {
+	private evictExpired(): void {
 		const now = this.clock.monotonic();
 		for (const [id, entry] of this.entries) {
-			if (entry.keptUntil < now || this.entries.size > maxAnswers) {
+			if (entry.expiresAt < now || this.entries.size > maxAnswers) {
 				this.entries.delete(id);
 			}
 		}
 	}
 }
 
-/** Passes an answer on and keeps a copy; goes on when the caller has left. */
+/** Forwards an answer and records a copy; keeps recording after the caller has disconnected. */
 export class RecordingSink implements CallerSink {
 	readonly answer: Promise<StoredAnswer | undefined>;
-	private settle: (answer: StoredAnswer | undefined) => void = () => {};
-	private readonly kept: StoredAnswer = {
+	private resolveAnswer: (answer: StoredAnswer | undefined) => void = () => {};
+	private readonly recorded: StoredAnswer = {
 		status: 0,
 		headers: {},
 		body: new Uint8Array(),
 		events: [],
 	};
 	private chunks: Uint8Array[] = [];
-	private bytesKept = 0;
-	private callerGone = false;
+	private recordedBytes = 0;
+	private isDetached = false;
 
 	constructor(private readonly inner: CallerSink) {
-		this.answer = new Promise((done) => {
-			this.settle = done;
+		this.answer = new Promise((resolve) => {
+			this.resolveAnswer = resolve;
 		});
 	}
 
-	/** The caller left; the answer is still kept. */
+	/** Stops forwarding to the caller; recording continues. */
 	detach(): void {
-		this.callerGone = true;
+		this.isDetached = true;
 	}
 
-	/** There will be no answer; whoever waits for it is told so. */
+	/** Resolves `answer` with undefined: no answer will come. */
 	abandon(): void {
-		this.settle(undefined);
+		this.resolveAnswer(undefined);
 	}
 
 	start(status: number, headers: Record<string, string>): void {
-		this.kept.status = status;
-		this.kept.headers = headers;
+		this.recorded.status = status;
+		this.recorded.headers = headers;
 		this.inner.start(status, headers);
 	}
 
 	writeEvents(events: readonly StreamEvent[]): boolean {
-		this.bytesKept += events.reduce((sum, event) => sum + event.data.length, 0);
-		if (this.bytesKept <= maxBytes) {
-			this.kept.events.push(...events);
+		this.recordedBytes += events.reduce((sum, event) => sum + event.data.length, 0);
+		if (this.recordedBytes <= maxAnswerBytes) {
+			this.recorded.events.push(...events);
 		}
-		return this.callerGone || this.inner.writeEvents(events);
+		return this.isDetached || this.inner.writeEvents(events);
 	}
 
 	writeBytes(chunk: Uint8Array): boolean {
-		this.bytesKept += chunk.length;
-		if (this.bytesKept <= maxBytes) {
+		this.recordedBytes += chunk.length;
+		if (this.recordedBytes <= maxAnswerBytes) {
 			this.chunks.push(chunk);
 		}
-		return this.callerGone || this.inner.writeBytes(chunk);
+		return this.isDetached || this.inner.writeBytes(chunk);
 	}
 
 	finish(): void {
-		this.kept.body = Buffer.concat(this.chunks);
-		this.settle(this.bytesKept <= maxBytes ? this.kept : undefined);
-		if (!this.callerGone) {
+		this.recorded.body = Buffer.concat(this.chunks);
+		this.resolveAnswer(this.recordedBytes <= maxAnswerBytes ? this.recorded : undefined);
+		if (!this.isDetached) {
 			this.inner.finish();
 		}
 	}
 
 	fail(err: UserError, outcome: Outcome): void {
-		this.settle(undefined);
-		if (!this.callerGone) {
+		this.resolveAnswer(undefined);
+		if (!this.isDetached) {
 			this.inner.fail(err, outcome);
 		}
 	}
@@ -136,7 +135,7 @@
 	}
 }
 
-/** Gives a kept answer to another caller. */
+/** Sends a stored answer to another caller; returns the outcome. */
 export function replayAnswer(answer: StoredAnswer, sink: CallerSink): string {
 	sink.start(answer.status, answer.headers);
 	if (answer.events.length > 0) {
--- a/src/core/requests/answer-stream.ts
+++ b/src/core/requests/answer-stream.ts
@@ -1,83 +1,83 @@
 /**
- * The events of one answer over all its runs: what may be passed on now, where a resume goes on,
- * and whether the answer is whole.
+ * Tracks the events of one streamed answer over all attempts: which may be forwarded, the offset
+ * that a resume starts from, and whether the answer is complete.
  * @module
  */
 import type { StreamEvent } from '../definitions.js';
 
-/** Last event of an OpenAI-compatible stream. */
+/** Data of the event that ends an OpenAI-compatible stream. */
 export const doneData = '[DONE]';
-/** Events without offsets that show that an endpoint gives none. */
-const eventsUntilPlain = 2;
+/** After more events than this without an offset, the endpoint is taken to send none. */
+const maxEventsBeforeOffset = 2;
 
 export class AnswerStream {
-	/** Tokens passed on, over all runs. */
+	/** Tokens forwarded, over all attempts. */
 	totalTokens = 0;
-	/** Tokens of the run that goes on. */
+	/** Tokens forwarded in the current attempt. */
 	attemptTokens = 0;
-	/** Events without offsets were passed on: a resume would repeat them. */
+	/** True once events without offsets were forwarded: a resume would repeat them. */
 	hasForwardedWithoutOffsets = false;
-	private sawDone = false;
-	private held: StreamEvent[] = [];
-	private eventsSeen = 0;
-	private offsetsSeen = false;
+	private hasDoneEvent = false;
+	private heldEvents: StreamEvent[] = [];
+	private eventCount = 0;
+	private hasOffsets = false;
 
-	/** `offset` is the number of tokens that the caller has. */
+	/** `position.offset` is the number of tokens that the caller has received. */
 	constructor(private readonly position: { offset: number }) {}
 
-	/** The last event of the answer has come. */
+	/** True once the final event of the answer has arrived. */
 	get isDone(): boolean {
-		return this.sawDone;
+		return this.hasDoneEvent;
 	}
 
-	/** A run could be cut off now and go on behind its last token. */
+	/** Whether the attempt can be cancelled now and resumed after its last token. */
 	get isResumable(): boolean {
-		return (this.offsetsSeen || this.eventsSeen === 0) && !this.sawDone;
+		return (this.hasOffsets || this.eventCount === 0) && !this.hasDoneEvent;
 	}
 
-	/** Another run begins; what the one before left unfinished comes again. */
+	/** Starts another attempt. Drops held events: the endpoint sends them again. */
 	beginAttempt(): void {
-		this.held = [];
-		this.sawDone = false;
+		this.heldEvents = [];
+		this.hasDoneEvent = false;
 		this.attemptTokens = 0;
 	}
 
-	/** Takes in events; returns those that may be passed on. */
+	/** Processes received events; returns those that may be forwarded. */
 	process(events: readonly StreamEvent[]): StreamEvent[] {
 		const ready: StreamEvent[] = [];
 		for (const event of events) {
-			this.takeOne(event, ready);
+			this.processEvent(event, ready);
 		}
 		return ready;
 	}
 
-	/** What is left when the answer has ended whole. */
+	/** Returns the held events and clears them. */
 	flush(): StreamEvent[] {
-		const rest = this.held;
-		this.held = [];
-		return rest;
+		const events = this.heldEvents;
+		this.heldEvents = [];
+		return events;
 	}
 
-	/** Events that carry no token wait for the next that does, so that a resume repeats none. */
-	private takeOne(event: StreamEvent, ready: StreamEvent[]): void {
-		this.eventsSeen++;
+	/** Holds events without a token until the next token, so that a resume repeats none. */
+	private processEvent(event: StreamEvent, ready: StreamEvent[]): void {
+		this.eventCount++;
 		if (event.data === doneData) {
-			this.sawDone = true;
+			this.hasDoneEvent = true;
 		}
 		if (event.offset !== undefined) {
-			this.takeToken(event, event.offset, ready);
+			this.processToken(event, event.offset, ready);
 			return;
 		}
-		this.held.push(event);
-		if (!this.offsetsSeen && this.eventsSeen > eventsUntilPlain) {
+		this.heldEvents.push(event);
+		if (!this.hasOffsets && this.eventCount > maxEventsBeforeOffset) {
 			this.hasForwardedWithoutOffsets = true;
 			this.countToken();
 			ready.push(...this.flush());
 		}
 	}
 
-	private takeToken(event: StreamEvent, offset: number, ready: StreamEvent[]): void {
-		this.offsetsSeen = true;
+	private processToken(event: StreamEvent, offset: number, ready: StreamEvent[]): void {
+		this.hasOffsets = true;
 		if (offset <= this.position.offset) {
 			return;
 		}
--- a/src/core/requests/caller-request.ts
+++ b/src/core/requests/caller-request.ts
@@ -1,11 +1,11 @@
 /**
- * Reads what a caller asks for: customer, class, deadline, target and whether it may run twice.
+ * Parses the request headers of callers: customer, class, deadline, idempotency key, repeatability.
  * @module
  */
 import type { ConfigurationView, Customer, ServiceClass, Target } from '../configuration/index.js';
 import * as errors from '../errors/index.js';
 
-/** Request headers that slategauge reads; listed in docs/CALLERS.md. */
+/** Request headers that slategauge reads; documented in docs/CALLERS.md. */
 export const callerHeaders = {
 	cls: 'x-slategauge-class',
 	deadlineMs: 'x-slategauge-deadline-ms',
@@ -13,25 +13,24 @@
 	idempotencyKey: 'idempotency-key',
 } as const;
 
-/** Longest idempotency key, in characters. */
+/** In characters. */
 const maxKeyLength = 200;
-/** Latest deadline a caller may ask for, in milliseconds. */
 const maxDeadlineMs = 24 * 3600 * 1000;
 
 /** Header values by lower-case name. */
 export type HeaderMap = Record<string, string | string[] | undefined>;
 
-/** What was read from head and path. */
+/** Options of a request, from its headers and the defaults of its customer and class. */
 export interface CallerRequestOptions {
 	customer: Customer;
 	cls: ServiceClass;
 	deadlineMs: number;
 	idempotencyKey?: string;
-	/** What the caller itself said; the stricter of all sources wins. */
+	/** The caller's own setting; `isRepeatable` combines it with those of class and service. */
 	repeatable: boolean;
 }
 
-/** Customer of the bearer key; throws `Unauthorized`. */
+/** Returns the customer of the bearer key; throws `Unauthorized`. */
 export function readCustomer(cfg: ConfigurationView, headers: HeaderMap): Customer {
 	const match = /^Bearer (\S+)$/i.exec(headerOf(headers, 'authorization') ?? '');
 	const customer = match?.[1] ? cfg.customerOfKey(match[1]) : undefined;
@@ -41,7 +40,7 @@
 	return customer;
 }
 
-/** Terms of a request; throws a `UserError` on the first thing that is wrong. */
+/** Throws a `UserError` for the first invalid header. */
 export function readRequestOptions(
 	cfg: ConfigurationView,
 	headers: HeaderMap,
@@ -57,23 +56,23 @@
 	};
 }
 
-/** The stricter of class, service and caller. */
+/** Whether a request may run twice: class, service and caller must all allow it. */
 export function isRepeatable(
 	cfg: ConfigurationView,
 	cls: ServiceClass,
 	target: Target,
-	caller: boolean,
+	callerAllows: boolean,
 ): boolean {
 	const serviceName = target.startsWith('service:') ? target.slice('service:'.length) : undefined;
 	const service = serviceName === undefined ? true : cfg.serviceNamed(serviceName)?.repeatable;
-	return cls.repeatable && caller && service === true;
+	return cls.repeatable && callerAllows && service === true;
 }
 
 function readClass(cfg: ConfigurationView, customer: Customer, headers: HeaderMap): ServiceClass {
 	const name = headerOf(headers, callerHeaders.cls) ?? customer.default_class;
 	const cls = cfg.classNamed(name);
-	const open = customer.classes.length === 0 || customer.classes.includes(name);
-	if (!cls || !open) {
+	const isAllowed = customer.classes.length === 0 || customer.classes.includes(name);
+	if (!cls || !isAllowed) {
 		throw new errors.UserError(errors.data.ClassNotAllowed, [name]);
 	}
 	return cls;
@@ -86,8 +85,8 @@
 	}
 	const ms = Number(text);
 	if (!Number.isInteger(ms) || ms < 1 || ms > maxDeadlineMs) {
-		const why = `${callerHeaders.deadlineMs} must be a whole number of milliseconds up to ${maxDeadlineMs}`;
-		throw new errors.UserError(errors.data.BadRequest, [why]);
+		const detail = `${callerHeaders.deadlineMs} must be a whole number of milliseconds up to ${maxDeadlineMs}`;
+		throw new errors.UserError(errors.data.BadRequest, [detail]);
 	}
 	return ms;
 }
@@ -95,8 +94,8 @@
 function readKey(headers: HeaderMap): string | undefined {
 	const key = headerOf(headers, callerHeaders.idempotencyKey);
 	if (key !== undefined && (key.length === 0 || key.length > maxKeyLength)) {
-		const why = `${callerHeaders.idempotencyKey} must have 1 to ${maxKeyLength} characters`;
-		throw new errors.UserError(errors.data.BadRequest, [why]);
+		const detail = `${callerHeaders.idempotencyKey} must have 1 to ${maxKeyLength} characters`;
+		throw new errors.UserError(errors.data.BadRequest, [detail]);
 	}
 	return key;
 }
@@ -109,8 +108,8 @@
 	if (text === 'false') {
 		return false;
 	}
-	const why = `${callerHeaders.repeatable} must be true or false`;
-	throw new errors.UserError(errors.data.BadRequest, [why]);
+	const detail = `${callerHeaders.repeatable} must be true or false`;
+	throw new errors.UserError(errors.data.BadRequest, [detail]);
 }
 
 function headerOf(headers: HeaderMap, name: string): string | undefined {
--- a/src/core/requests/definitions.ts
+++ b/src/core/requests/definitions.ts
@@ -1,33 +1,33 @@
 /**
- * The callers' side as the daemon's logic sees it.
+ * Interfaces between request handling and the servers that face callers.
  * @module
  */
 import type { StreamEvent } from '../definitions.js';
 import type { UserError } from '../errors/index.js';
 import type { Outcome } from './types.js';
 
-/** Gives one caller its answer. */
+/** Writes an answer to one caller. */
 export interface CallerSink {
-	/** The answer has begun; called once. */
+	/** Writes the head of the answer; called once. */
 	start(status: number, headers: Record<string, string>): void;
-	/** Whole events; false asks for a pause until `onDrain` calls. */
+	/** Writes complete events; false asks the sender to pause until the `onDrain` callback. */
 	writeEvents(events: readonly StreamEvent[]): boolean;
-	/** Bytes of an answer that is not a stream of events. */
+	/** Writes body bytes of an answer that is not an event stream; returns as `writeEvents` does. */
 	writeBytes(chunk: Uint8Array): boolean;
-	/** The whole answer was given. */
+	/** Ends a complete answer. */
 	finish(): void;
-	/** The last word when it was not. */
+	/** Ends an answer that is missing or incomplete with an error. */
 	fail(err: UserError, outcome: Outcome): void;
-	/** Called when the caller can take more. */
+	/** Registers a callback for when the caller can receive more. */
 	onDrain(resume: () => void): void;
 }
 
-/** What is sent to an endpoint for a request. */
+/** The part of an endpoint call that is the same for all attempts of a request. */
 export interface CallTemplate {
 	method: string;
 	path: string;
 	headers: Record<string, string>;
 	body?: Uint8Array;
-	/** The endpoint answers with a stream of events that can be resumed. */
+	/** The endpoint answers with an event stream that can be resumed. */
 	streamed: boolean;
 }
--- a/src/core/requests/duration-estimator.ts
+++ b/src/core/requests/duration-estimator.ts
@@ -1,18 +1,17 @@
 /**
- * How long answers take, by class and customer, from what was seen. Used for order and
- * admission, never for safety.
+ * Estimates how long answers take, by class and customer, from completed requests. Used for
+ * ordering and admission only, never where a wrong estimate would break a guarantee.
  * @module
  */
 
-/** Step of an estimate towards a new answer, as a share of the estimate. */
-const weight = 0.1;
-/** Durations are kept at this quantile, so that work is not given up too early. */
+/** Size of one update, relative to the estimate. */
+const stepRatio = 0.1;
+/** Low, so that requests are not shed too early. */
 const durationQuantile = 0.3;
-/** First tokens are kept at this quantile, so that work chosen as "in time" mostly is. */
+/** High, so that most requests that are expected to meet their target do. */
 const firstTokenQuantile = 0.9;
 
 interface Estimate {
-	/** Milliseconds. */
 	durationMs: number;
 	firstTokenMs: number;
 }
@@ -27,24 +26,24 @@
 			this.estimates.set(key, { durationMs, firstTokenMs });
 			return;
 		}
-		known.durationMs = towardsQuantile(known.durationMs, durationMs, durationQuantile);
-		known.firstTokenMs = towardsQuantile(known.firstTokenMs, firstTokenMs, firstTokenQuantile);
+		known.durationMs = moveTowardsQuantile(known.durationMs, durationMs, durationQuantile);
+		known.firstTokenMs = moveTowardsQuantile(known.firstTokenMs, firstTokenMs, firstTokenQuantile);
 	}
 
-	/** Milliseconds that an answer takes at the least, with some likelihood; 0 when not known. */
+	/** A low estimate of an answer's duration in milliseconds; 0 if unknown. */
 	durationMs(cls: string, customer: string): number {
 		return this.estimates.get(`${cls} ${customer}`)?.durationMs ?? 0;
 	}
 
-	/** Milliseconds from dispatch to the first token, rarely more; 0 when not known. */
+	/** A high estimate of the time from dispatch to first token in milliseconds; 0 if unknown. */
 	firstTokenMs(cls: string, customer: string): number {
 		return this.estimates.get(`${cls} ${customer}`)?.firstTokenMs ?? 0;
 	}
 }
 
-/** Moves an estimate up or down so that it settles at the quantile. */
-function towardsQuantile(estimate: number, sample: number, quantile: number): number {
-	const step = weight * Math.max(estimate, 1);
+/** Stochastic quantile update: the estimate converges to the quantile of the samples. */
+function moveTowardsQuantile(estimate: number, sample: number, quantile: number): number {
+	const step = stepRatio * Math.max(estimate, 1);
 	const moved = sample > estimate ? estimate + step * quantile : estimate - step * (1 - quantile);
 	return Math.max(moved, 0);
 }
--- a/src/core/requests/request-timeline.ts
+++ b/src/core/requests/request-timeline.ts
@@ -1,5 +1,5 @@
 /**
- * The time line's events of one request: each names the request, its class, tier and customer.
+ * Records timeline events of one request, labelled with its id, class, tier and customer.
  * @module
  */
 import type { EventFields, EventKind, Timeline } from '../timeline/index.js';
--- a/src/core/requests/retry-budget.ts
+++ b/src/core/requests/retry-budget.ts
@@ -1,26 +1,24 @@
 /**
- * Bounds retries by the requests that came, so that retries cannot double a surge.
+ * Limits retries to a share of the incoming requests, so that they cannot amplify an overload.
  * @module
  */
 
-/** Retries allowed for each request that came. */
-const ratio = 0.1;
-/** Retries that may be saved up. */
-const maxSaved = 20;
+const retriesPerRequest = 0.1;
+const maxBalance = 20;
 
 export class RetryBudget {
-	private saved = maxSaved;
+	private balance = maxBalance;
 
 	recordRequest(): void {
-		this.saved = Math.min(maxSaved, this.saved + ratio);
+		this.balance = Math.min(maxBalance, this.balance + retriesPerRequest);
 	}
 
-	/** True if a retry may be made now. */
+	/** Consumes one retry from the budget; false if it is exhausted. */
 	tryConsume(): boolean {
-		if (this.saved < 1) {
+		if (this.balance < 1) {
 			return false;
 		}
-		this.saved--;
+		this.balance--;
 		return true;
 	}
 }
--- a/src/core/requests/router.ts
+++ b/src/core/requests/router.ts
@@ -1,5 +1,5 @@
 /**
- * One daemon's requests: admission, waiting, starts, giving up.
+ * Admits, queues, dispatches and sheds the requests of one daemon.
  * @module
  */
 import type { ClaimRecord, ClaimStore } from '../claims/claims.js';
@@ -21,15 +21,14 @@
 import type { Request } from './types.js';
 import { isAvoided } from './types.js';
 
-/** Bounds of Retry-After, in seconds. */
 const minRetryAfterS = 1;
 const maxRetryAfterS = 120;
 
-/** An estimate shortens the wait for a start by at most this share of the deadline. */
-const trustedShare = 0.5;
-/** Margin on the time from a dispatch to its first token, so that work chosen as in time is. */
-const leadFactor = 1.25;
-const leadMarginMs = 25;
+/** The duration estimate brings the latest start forward by at most this share of the deadline. */
+const maxEstimateShare = 0.5;
+/** Safety margin on the estimated time from dispatch to first token. */
+const firstTokenFactor = 1.25;
+const firstTokenMarginMs = 25;
 
 export interface RouterOptions {
 	vm: string;
@@ -40,11 +39,11 @@
 	timeline: Timeline;
 	limits: QueueLimits;
 	stallMs: number;
-	/** Calls back soon, once, from the loop. */
+	/** Runs the callback once, in a later turn of the event loop. */
 	defer: (callback: () => void) => void;
-	/** Asks another daemon for the answer of an attempt that holds a claim. */
+	/** Fetches the answer of the claim's holder from another daemon. */
 	fetchPeerAnswer: (holder: ClaimRecord) => Promise<StoredAnswer | undefined>;
-	/** Requests came, started or ended. */
+	/** Called after each dispatch round. */
 	onChange?: () => void;
 }
 
@@ -56,16 +55,16 @@
 	readonly vm: string;
 	readonly stallMs: number;
 	readonly retryBudget = new RetryBudget();
-	/** Answers for second arrivals. */
+	/** Answers for repeated requests with the same idempotency key. */
 	readonly answers: AnswerStore;
 	readonly queue: RequestQueue;
-	private readonly runs = new Map<number, ActiveRequest>();
+	private readonly requestsByTicket = new Map<number, ActiveRequest>();
 	private readonly runningByCustomer = new Map<string, number>();
 	private readonly durations = new DurationEstimator();
 	private cfg?: ConfigurationView;
 	private policy?: SlotPolicy;
-	private pumpDue = false;
-	private pauseUntil = 0;
+	private isDispatchScheduled = false;
+	private dispatchPausedUntil = 0;
 
 	constructor(private readonly opts: RouterOptions) {
 		this.clock = opts.clock;
@@ -78,7 +77,7 @@
 		this.answers = new AnswerStore(opts.clock);
 	}
 
-	/** Puts a configuration and its policy in force. */
+	/** Applies a configuration and its scheduling policy. */
 	configure(cfg: ConfigurationView, policy: SlotPolicy): void {
 		this.cfg = cfg;
 		this.policy = policy;
@@ -86,20 +85,20 @@
 	}
 
 	get activeCount(): number {
-		return this.runs.size;
+		return this.requestsByTicket.size;
 	}
 
-	/** Every request that this daemon holds. */
+	/** All requests that are queued or running on this daemon. */
 	activeRequests(): Iterable<ActiveRequest> {
-		return this.runs.values();
+		return this.requestsByTicket.values();
 	}
 
-	/** Takes in a request. */
+	/** Admits a request; its answer or error goes to the sink. */
 	submit(req: Request, template: CallTemplate, sink: CallerSink): ActiveRequest {
-		const once = req.idempotencyKey !== undefined && !req.repeatable;
-		const recording = once ? this.answers.record(req.id, sink) : undefined;
-		const run = new ActiveRequest(req, template, recording ?? sink, this, recording);
-		this.runs.set(req.ticket, run);
+		const runsOnce = req.idempotencyKey !== undefined && !req.repeatable;
+		const recording = runsOnce ? this.answers.record(req.id, sink) : undefined;
+		const active = new ActiveRequest(req, template, recording ?? sink, this, recording);
+		this.requestsByTicket.set(req.ticket, active);
 		this.retryBudget.recordRequest();
 		this.timeline.record(eventKinds.requestQueued, {
 			request: req.id,
@@ -108,60 +107,60 @@
 			customer: req.customer,
 		});
 		this.enqueue(req);
-		return run;
+		return active;
 	}
 
-	/** Cuts off a run for work of a higher tier. */
+	/** Cancels a running request in favour of a higher tier; it is queued again. */
 	preempt(ticket: number): void {
-		if (this.runs.get(ticket)?.preempt()) {
+		if (this.requestsByTicket.get(ticket)?.preempt()) {
 			this.opts.metrics.count('requests.preempted', 1);
 		}
 	}
 
 	isPreemptable(ticket: number): boolean {
-		return this.runs.get(ticket)?.isPreemptable ?? false;
+		return this.requestsByTicket.get(ticket)?.isPreemptable ?? false;
 	}
 
-	/** Nothing starts until the views are fresh again; called after a jump of the clock. */
-	pauseDispatchUntil(at: number): void {
-		this.pauseUntil = Math.max(this.pauseUntil, at);
+	/** Suspends dispatch; called after a clock jump, until the view of the fleet is current again. */
+	pauseDispatchUntil(time: number): void {
+		this.dispatchPausedUntil = Math.max(this.dispatchPausedUntil, time);
 	}
 
-	/** Gives up requests whose deadline can no longer be met. Called often. */
+	/** Sheds queued requests whose deadline can no longer be met. */
 	shedExpired(): void {
 		if (this.queue.size === 0) {
 			return;
 		}
 		const now = this.clock.monotonic();
 		for (const req of [...this.queue]) {
-			if (now > this.latestStart(req)) {
+			if (now > this.latestStartAt(req)) {
 				this.queue.remove(req);
-				this.giveUpWaiting(req, errors.data.DeadlinePassed);
+				this.shedWaiting(req, errors.data.DeadlinePassed);
 			}
 		}
 		this.scheduleDispatch();
 	}
 
-	/** A waiting request that starts later than this is of no use. */
-	private latestStart(req: Request): number {
-		const needsMs = this.durations.durationMs(req.cls.name, req.customer);
-		const trusted = (req.deadlineAt - req.arrivedAt) * trustedShare;
-		const useful = req.deadlineAt - Math.min(needsMs, trusted);
-		return req.offset > 0 ? req.deadlineAt : Math.min(req.queueTimeoutAt, useful);
+	/** A queued request that has not started by then is shed. */
+	private latestStartAt(req: Request): number {
+		const estimateMs = this.durations.durationMs(req.cls.name, req.customer);
+		const maxEstimateMs = (req.deadlineAt - req.arrivedAt) * maxEstimateShare;
+		const latestUsefulAt = req.deadlineAt - Math.min(estimateMs, maxEstimateMs);
+		return req.offset > 0 ? req.deadlineAt : Math.min(req.queueTimeoutAt, latestUsefulAt);
 	}
 
-	/** Starts what may start, soon. */
+	/** Dispatches queued requests in a later turn of the event loop; calls are coalesced. */
 	scheduleDispatch(): void {
-		if (!this.pumpDue) {
-			this.pumpDue = true;
+		if (!this.isDispatchScheduled) {
+			this.isDispatchScheduled = true;
 			this.opts.defer(() => {
-				this.pumpDue = false;
-				this.pump();
+				this.isDispatchScheduled = false;
+				this.dispatchWaiting();
 			});
 		}
 	}
 
-	/** State that policies decide on; undefined before a configuration came. */
+	/** Input of the scheduling policies; undefined before the first configuration. */
 	state(): SchedulingState | undefined {
 		if (!this.cfg) {
 			return undefined;
@@ -169,56 +168,60 @@
 		return { now: this.clock.monotonic(), cfg: this.cfg, queue: this.queue, ordering: this };
 	}
 
-	/** Running requests of a customer. */
+	/** Running requests of a customer, divided by its weight. */
 	customerShare(customer: string): number {
 		return this.runningByCustomer.get(customer) ?? 0;
 	}
 
-	/** Estimated milliseconds from a dispatch to its first token. */
+	/** Estimated milliseconds from dispatch to first token, with a safety margin. */
 	firstTokenLeadMs(req: Request): number {
 		const estimate = this.durations.firstTokenMs(req.cls.name, req.customer);
-		return estimate * leadFactor + leadMarginMs;
+		return estimate * firstTokenFactor + firstTokenMarginMs;
 	}
 
 	dispatchUrl(endpoint: string): string | undefined {
 		const known = this.cfg?.endpointNamed(endpoint);
-		const open = known?.state === 'active' && this.policy?.mayDispatch(endpoint);
-		return open ? known.url : undefined;
+		const mayDispatch = known?.state === 'active' && this.policy?.mayDispatch(endpoint);
+		return mayDispatch ? known.url : undefined;
 	}
 
-	requeue(run: ActiveRequest): void {
-		this.forgiveWhenAlone(run.req);
-		this.queue.requeue(run.req);
+	requeue(active: ActiveRequest): void {
+		this.clearAvoidedIfNoneLeft(active.req);
+		this.queue.requeue(active.req);
 		this.scheduleDispatch();
 	}
 
-	releaseSlot(run: ActiveRequest, slot: Slot, result: RunResult): void {
-		const customer = run.req.customer;
-		this.runningByCustomer.set(customer, this.customerShare(customer) - 1 / run.req.weight);
+	releaseSlot(active: ActiveRequest, slot: Slot, result: RunResult): void {
+		const customer = active.req.customer;
+		this.runningByCustomer.set(customer, this.customerShare(customer) - 1 / active.req.weight);
 		if (!result.failed && !result.cancelled && result.firstTokenMs !== undefined) {
-			const took = this.clock.monotonic() - slot.startedAt;
-			this.durations.add(run.req.cls.name, customer, took, result.firstTokenMs);
+			const durationMs = this.clock.monotonic() - slot.startedAt;
+			this.durations.add(active.req.cls.name, customer, durationMs, result.firstTokenMs);
 		}
-		this.policy?.releaseSlot(run.req, slot, result, this.clock.monotonic());
+		this.policy?.releaseSlot(active.req, slot, result, this.clock.monotonic());
 		this.scheduleDispatch();
 	}
 
-	recordInterTokenLatency(run: ActiveRequest, slot: Slot, gapMs: number): void {
-		this.policy?.recordInterTokenLatency(run.req, slot, gapMs, this.clock.monotonic());
+	recordInterTokenLatency(active: ActiveRequest, slot: Slot, interTokenMs: number): void {
+		this.policy?.recordInterTokenLatency(active.req, slot, interTokenMs, this.clock.monotonic());
 	}
 
-	finish(run: ActiveRequest, outcome: string, tokens: number): void {
-		this.queue.remove(run.req);
-		this.runs.delete(run.req.ticket);
-		const tags = { class: run.req.cls.name, outcome };
+	finish(active: ActiveRequest, outcome: string, tokens: number): void {
+		this.queue.remove(active.req);
+		this.requestsByTicket.delete(active.req.ticket);
+		const tags = { class: active.req.cls.name, outcome };
 		this.opts.metrics.count('requests.ended', 1, tags);
-		this.opts.metrics.count('tokens.relayed', tokens, { class: run.req.cls.name });
-		this.opts.metrics.timing('requests.duration', this.clock.monotonic() - run.req.arrivedAt, tags);
+		this.opts.metrics.count('tokens.relayed', tokens, { class: active.req.cls.name });
+		this.opts.metrics.timing(
+			'requests.duration',
+			this.clock.monotonic() - active.req.arrivedAt,
+			tags,
+		);
 	}
 
 	fetchAnswer(holder: ClaimRecord): Promise<StoredAnswer | undefined> {
-		const here = holder.vm === this.vm;
-		return here ? this.answers.wait(holder.attempt) : this.opts.fetchPeerAnswer(holder);
+		const isLocal = holder.vm === this.vm;
+		return isLocal ? this.answers.wait(holder.attempt) : this.opts.fetchPeerAnswer(holder);
 	}
 
 	retryAfterS(req: Request): number {
@@ -230,29 +233,26 @@
 
 	private enqueue(req: Request): void {
 		for (const evicted of this.queue.add(req)) {
-			this.giveUpWaiting(evicted, errors.data.Shed);
+			this.shedWaiting(evicted, errors.data.Shed);
 		}
-		this.pumpAfterArrival();
+		this.dispatchAfterArrival();
 	}
 
-	/** A request that finds the queue empty does not wait for the loop's next turn. */
-	private pumpAfterArrival(): void {
+	/** Dispatches at once if the queue was empty, so that a lone request adds no latency. */
+	private dispatchAfterArrival(): void {
 		if (this.queue.size === 1) {
-			this.pump();
+			this.dispatchWaiting();
 		} else {
 			this.scheduleDispatch();
 		}
 	}
 
-	/**
-	 * An answer that has begun is never given up as "not run"; `RequestRun` tells the difference.
-	 */
-	private giveUpWaiting(req: Request, data: errors.ErrorData): void {
-		this.runs.get(req.ticket)?.shed(data);
+	private shedWaiting(req: Request, data: errors.ErrorData): void {
+		this.requestsByTicket.get(req.ticket)?.shed(data);
 	}
 
-	/** A request that avoids every endpoint may ask them again. */
-	private forgiveWhenAlone(req: Request): void {
+	/** Clears the avoided endpoints of a request once no other eligible endpoint is left. */
+	private clearAvoidedIfNoneLeft(req: Request): void {
 		const eligible = this.cfg?.eligible(req.target, req.cls.name) ?? [];
 		const now = this.clock.monotonic();
 		if (eligible.every((endpoint) => isAvoided(req, endpoint.name, now))) {
@@ -260,19 +260,19 @@
 		}
 	}
 
-	private pump(): void {
+	private dispatchWaiting(): void {
 		const state = this.state();
-		if (!state || !this.policy || state.now < this.pauseUntil) {
+		if (!state || !this.policy || state.now < this.dispatchPausedUntil) {
 			return;
 		}
 		for (const { req, slot } of this.policy.assignSlots(state)) {
-			const run = this.runs.get(req.ticket);
+			const active = this.requestsByTicket.get(req.ticket);
 			this.runningByCustomer.set(req.customer, this.customerShare(req.customer) + 1 / req.weight);
-			if (run) {
+			if (active) {
 				this.opts.metrics.timing('requests.waited', state.now - req.waitingSince, {
 					class: req.cls.name,
 				});
-				void run.start(slot);
+				void active.start(slot);
 			}
 		}
 		this.opts.onChange?.();
--- a/src/core/requests/token-timing.ts
+++ b/src/core/requests/token-timing.ts
@@ -1,10 +1,9 @@
 /**
- * Times of one run's tokens. Milliseconds of the monotonic clock.
+ * Measures the token timing of one attempt. Times are milliseconds of the monotonic clock.
  * @module
  */
 
-/** Least time between two observations of one run, in milliseconds. */
-const observeEveryMs = 200;
+const minSampleIntervalMs = 200;
 
 export class TokenTiming {
 	private firstAt = 0;
@@ -14,7 +13,7 @@
 
 	constructor(private readonly dispatchedAt: number) {}
 
-	/** Time from dispatch to the first token; undefined without one. */
+	/** Time from dispatch to the first token; undefined before it. */
 	get firstTokenMs(): number | undefined {
 		return this.firstAt > 0 ? this.firstAt - this.dispatchedAt : undefined;
 	}
@@ -24,7 +23,7 @@
 		return this.firstAt > 0 ? this.lastAt - this.firstAt : 0;
 	}
 
-	/** Notes that the run has given `tokens` in all; true for the first time. */
+	/** Records that tokens arrived, `tokens` in total; returns true for the first ones. */
 	recordTokens(tokens: number, now: number): boolean {
 		this.lastAt = now;
 		if (this.firstAt > 0) {
@@ -36,15 +35,15 @@
 		return true;
 	}
 
-	/** Mean time between the newest tokens, when enough time has passed since the last asking. */
+	/** Mean inter-token latency since the last sample; undefined if that was too recent. */
 	sampleInterTokenMs(tokens: number, now: number): number | undefined {
-		const since = now - this.observedAt;
-		const fresh = tokens - this.observedTokens;
-		if (since < observeEveryMs || fresh === 0) {
+		const elapsedMs = now - this.observedAt;
+		const newTokens = tokens - this.observedTokens;
+		if (elapsedMs < minSampleIntervalMs || newTokens === 0) {
 			return undefined;
 		}
 		this.observedAt = now;
 		this.observedTokens = tokens;
-		return since / fresh;
+		return elapsedMs / newTokens;
 	}
 }
--- a/src/core/requests/types.ts
+++ b/src/core/requests/types.ts
@@ -1,54 +1,53 @@
 /**
- * A caller's request as the daemon's logic sees it.
+ * Types of a caller's request, independent of its transport.
  * @module
  */
 import type { ServiceClass, Target } from '../configuration/index.js';
 
-/** Outcomes told to callers. */
+/** Outcomes reported to callers. */
 export const outcomes = {
-	/** The whole answer was given. */
+	/** The complete answer was sent. */
 	complete: 'complete',
-	/** Nothing reached an endpoint. */
+	/** No endpoint has received any of the request. */
 	notRun: 'not-run',
-	/** It may have run. */
+	/** The request may have run. */
 	unknown: 'unknown',
-	/** A part of the answer was given, and it could not go on. */
+	/** Part of the answer was sent; the rest is lost. */
 	incomplete: 'incomplete',
 } as const;
 export type Outcome = (typeof outcomes)[keyof typeof outcomes];
 
-/** Times are milliseconds of the daemon's monotonic clock. */
+/** A request held by this daemon. Times are milliseconds of the monotonic clock. */
 export interface Request {
-	/** The daemon's own id. */
+	/** Id assigned by the daemon. */
 	readonly id: string;
-	/** Number of the request on this daemon; names it between daemons. */
+	/** Sequence number on this daemon; identifies the request in messages between daemons. */
 	readonly ticket: number;
 	readonly cls: ServiceClass;
 	readonly customer: string;
-	/** Share of the customer beside others. */
+	/** Fair-share weight of the customer. */
 	readonly weight: number;
 	readonly target: Target;
 	readonly repeatable: boolean;
-	/** Idempotency key, where the caller gave one. */
 	readonly idempotencyKey?: string;
 	readonly arrivedAt: number;
-	/** The first token is in time until then. */
+	/** Target time of the first token. */
 	readonly firstTokenBy: number;
-	/** The answer is of no use after that. */
+	/** The answer is useless after this time. */
 	readonly deadlineAt: number;
-	/** Without a start until then it is given up. */
+	/** The request is shed if it has not started by then. */
 	readonly queueTimeoutAt: number;
-	/** Bytes kept while it waits. */
+	/** Memory that the request takes up while it is queued. */
 	readonly heldBytes: number;
-	/** Since when it waits; later than arrival after a preemption or a broken stream. */
+	/** Start of the current wait; later than arrival after a preemption or a broken stream. */
 	waitingSince: number;
-	/** Tokens that the caller has; above 0 after a resume. */
+	/** Tokens that the caller has received; a resumed attempt continues after them. */
 	offset: number;
-	/** Endpoints that failed it, and until when they are not asked again. */
+	/** Endpoints that failed this request, with the time until which they are avoided. */
 	avoidUntil: Map<string, number>;
 }
 
-/** Whether a request passes over an endpoint that has just failed it. */
+/** Whether an endpoint failed the request too recently to be tried again. */
 export function isAvoided(req: Request, endpoint: string, now: number): boolean {
 	return (req.avoidUntil.get(endpoint) ?? Number.NEGATIVE_INFINITY) > now;
 }
--- a/src/daemon/daemon-control.ts
+++ b/src/daemon/daemon-control.ts
@@ -1,5 +1,5 @@
 /**
- * What one daemon tells its control port.
+ * Implements the control port's API on a daemon.
  * @module
  */
 import * as crypto from 'node:crypto';
@@ -20,7 +20,7 @@
 		const { settings, router, kv, configuration } = this.daemon;
 		const cpu = process.cpuUsage();
 		const { traffic } = this.daemon.transport;
-		const running = [...router.activeRequests()].filter((run) => run.currentSlot).length;
+		const running = [...router.activeRequests()].filter((active) => active.currentSlot).length;
 		return {
 			vm: settings.vm.id,
 			failure_domain: settings.vm.failure_domain,
@@ -42,7 +42,7 @@
 	}
 
 	requests(): RequestRow[] {
-		return [...this.daemon.router.activeRequests()].map((run) => this.row(run));
+		return [...this.daemon.router.activeRequests()].map((active) => this.toRow(active));
 	}
 
 	endpoints(): EndpointRow[] {
@@ -113,25 +113,25 @@
 		}));
 	}
 
-	private row(run: ActiveRequest): RequestRow {
+	private toRow(active: ActiveRequest): RequestRow {
 		const now = this.daemon.clock.monotonic();
-		const { req } = run;
+		const { req } = active;
 		return {
 			id: req.id,
 			vm: this.daemon.settings.vm.id,
-			state: run.currentSlot ? 'running' : 'queued',
+			state: active.currentSlot ? 'running' : 'queued',
 			class: req.cls.name,
 			tier: req.cls.tier,
 			customer: req.customer,
-			endpoint: run.currentSlot?.endpoint ?? '',
-			late: run.forwardedTokens === 0 && now > req.firstTokenBy,
+			endpoint: active.currentSlot?.endpoint ?? '',
+			late: active.forwardedTokens === 0 && now > req.firstTokenBy,
 			age_ms: Math.round(now - req.arrivedAt),
-			tokens: run.forwardedTokens,
+			tokens: active.forwardedTokens,
 		};
 	}
 }
 
-/** Compares in constant time, whatever the lengths. */
+/** Compares in constant time, also for different lengths. */
 function equalSecrets(a: string, b: string): boolean {
 	const hash = (text: string) => crypto.createHash('sha256').update(text).digest();
 	return crypto.timingSafeEqual(hash(a), hash(b));
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -1,5 +1,5 @@
 /**
- * Puts one daemon together and runs it.
+ * Assembles a daemon from its components, starts and stops it.
  * @module
  */
 import type * as http from 'node:http';
@@ -33,12 +33,10 @@
 import { PeerAnswerFetcher } from './peer-answer-fetcher.js';
 import { PeerConfigurationFetcher } from './peer-configuration-fetcher.js';
 
-/** Time between two looks for requests to give up, in milliseconds. */
-const sweepMs = 50;
-/** Daemons of each failure domain that watch the key-value service. */
+const shedIntervalMs = 50;
+/** Daemons per failure domain that watch the key-value service. */
 const watchersPerDomain = 2;
-/** Time between two looks whether a planned stop is done, in milliseconds. */
-const stopPollMs = 50;
+const stopPollIntervalMs = 50;
 
 export class Daemon {
 	readonly clock = new SystemClock();
@@ -51,21 +49,21 @@
 	readonly kv: HttpKvStore;
 	private readonly metrics: StatsdMetrics;
 	private readonly endpoints = new UndiciEndpointClient();
-	private readonly independent = new IndependentPolicy();
-	private readonly loads: LoadPoller;
+	private readonly independentPolicy = new IndependentPolicy();
+	private readonly loadPoller: LoadPoller;
 	readonly transport: UdpTransport;
-	/** Peers that a drill has cut off. */
+	/** Peers whose messages a drill blocks. */
 	readonly blockedPeers = new Set<string>();
 	private fleetNode?: FleetNode;
 	private view?: ConfigurationView;
-	private owned: readonly Endpoint[] = [];
+	private ownedEndpoints: readonly Endpoint[] = [];
 	private readonly peerConfiguration: PeerConfigurationFetcher;
 	private readonly peerAnswers: PeerAnswerFetcher;
 	private callers?: CallersServer;
 	private control?: http.Server;
-	private stopping = false;
-	/** The platform's list says that this VM is leaving. */
-	private listedLeaving = false;
+	private isStopping = false;
+	/** The platform's VM list marks this VM as leaving. */
+	private isListedLeaving = false;
 	private readonly timers: NodeJS.Timeout[] = [];
 
 	constructor(
@@ -93,10 +91,10 @@
 			vm: settings.vm.id,
 			sleep,
 		});
-		this.loads = new LoadPoller({
+		this.loadPoller = new LoadPoller({
 			endpoints: this.endpoints,
 			random: this.random,
-			onReport: (endpoint, report) => this.loadReported(endpoint, report),
+			onReport: (endpoint, report) => this.handleLoadReport(endpoint, report),
 		});
 		this.peerAnswers = new PeerAnswerFetcher({
 			token: settings.peers.token,
@@ -111,7 +109,7 @@
 		});
 	}
 
-	/** The daemon's part in the fleet; undefined before the start. */
+	/** Undefined before the start. */
 	get fleet(): FleetNode | undefined {
 		return this.fleetNode;
 	}
@@ -120,9 +118,9 @@
 		return this.view;
 	}
 
-	/** Why no new requests are taken. */
+	/** Why new requests are refused; undefined if they are accepted. */
 	refusal(): errors.ErrorData | undefined {
-		if (this.stopping || this.listedLeaving) {
+		if (this.isStopping || this.isListedLeaving) {
 			return errors.data.Stopping;
 		}
 		return this.view ? undefined : errors.data.NotReady;
@@ -149,31 +147,31 @@
 		);
 		this.fleetNode = this.makeFleetNode(controlPort);
 		this.fleetNode.start();
-		this.timers.push(setInterval(() => this.router.shedExpired(), sweepMs));
+		this.timers.push(setInterval(() => this.router.shedExpired(), shedIntervalMs));
 		void this.follower.follow();
 		this.log.info('daemon.listening', { callers_port: callersPort, control_port: controlPort });
 	}
 
-	/** Planned stop: no new requests, the held ones finish. */
+	/** Graceful shutdown: refuses new requests and lets the active ones finish. */
 	async stop(): Promise<void> {
-		if (this.stopping) {
+		if (this.isStopping) {
 			return;
 		}
-		this.stopping = true;
+		this.isStopping = true;
 		this.timeline.record(eventKinds.stopping, { value: this.router.activeCount });
 		this.log.info('daemon.stopping', { requests: this.router.activeCount });
-		const latest = this.clock.monotonic() + this.settings.limits.stop_ms;
-		while (this.router.activeCount > 0 && this.clock.monotonic() < latest) {
-			await sleep(stopPollMs);
+		const deadline = this.clock.monotonic() + this.settings.limits.stop_ms;
+		while (this.router.activeCount > 0 && this.clock.monotonic() < deadline) {
+			await sleep(stopPollIntervalMs);
 		}
 		this.logAbortedRequests();
 		await this.close();
 	}
 
-	/** Names the requests that an end now would cut off. */
+	/** Logs the requests that are still active and would be aborted now. */
 	logAbortedRequests(): void {
-		for (const run of this.router.activeRequests()) {
-			this.log.warn('daemon.cuts', { request: run.req.id, class: run.req.cls.name });
+		for (const active of this.router.activeRequests()) {
+			this.log.warn('daemon.cuts', { request: active.req.id, class: active.req.cls.name });
 		}
 	}
 
@@ -184,7 +182,7 @@
 			clearInterval(timer);
 		}
 		this.follower.stop();
-		this.loads.stop();
+		this.loadPoller.stop();
 		this.callers?.server.close();
 		this.callers?.server.closeAllConnections();
 		this.control?.close();
@@ -198,33 +196,33 @@
 	private apply(versioned: VersionedConfiguration): void {
 		this.view = new ConfigurationView(versioned);
 		this.fleetNode?.configure(this.view);
-		const granted = this.view.document.policy.name === policies.granted;
-		const policy = granted && this.fleetNode ? this.fleetNode.policy : this.independent;
+		const isGranted = this.view.document.policy.name === policies.granted;
+		const policy = isGranted && this.fleetNode ? this.fleetNode.policy : this.independentPolicy;
 		this.router.configure(this.view, policy);
-		this.followLoads();
+		this.updateLoadPolling();
 		this.timeline.record(eventKinds.configurationApplied, { value: versioned.version });
 		this.log.info('configuration.applied', { version: versioned.version, by: versioned.by });
 	}
 
-	/** Alone, a daemon needs every report; in the fleet, owners read those of their endpoints. */
-	private followLoads(): void {
+	/** Polls all endpoints under the independent policy, otherwise only the owned ones. */
+	private updateLoadPolling(): void {
 		const document = this.view?.document;
-		const alone = document?.policy.name === policies.independent;
-		this.loads.setEndpoints(alone ? document.endpoints : this.owned);
+		const isIndependent = document?.policy.name === policies.independent;
+		this.loadPoller.setEndpoints(isIndependent ? document.endpoints : this.ownedEndpoints);
 	}
 
-	private loadReported(endpoint: string, report: LoadReport): void {
-		this.independent.applyLoadReport(endpoint, report);
+	private handleLoadReport(endpoint: string, report: LoadReport): void {
+		this.independentPolicy.applyLoadReport(endpoint, report);
 		const drained = this.view?.endpointNamed(endpoint)?.state !== 'active';
 		this.fleetNode?.ownedLedgers.setUnavailable(endpoint, report.isDraining || drained);
 	}
 
-	/** A few daemons of each failure domain watch; the others hear of changes from peers. */
+	/** A few daemons per failure domain watch; the others learn of changes from their peers. */
 	private isWatcher(): boolean {
 		const { id, failure_domain } = this.settings.vm;
 		const live = this.fleetNode?.membership.liveMembers() ?? [];
-		const near = live.filter((member) => member.domain === failure_domain);
-		const names = near.map((member) => member.id);
+		const sameDomain = live.filter((member) => member.domain === failure_domain);
+		const names = sameDomain.map((member) => member.id);
 		const watchers = rendezvous.pickTop('configuration', names, watchersPerDomain);
 		return watchers.length === 0 || watchers.includes(id);
 	}
@@ -253,12 +251,12 @@
 			vmList: new HttpVmList({ url: platform.vm_list, timeoutMs: platform.timeout_ms }),
 			transport: this.transport,
 			onListedLeaving: (leaving) => {
-				this.listedLeaving = leaving;
+				this.isListedLeaving = leaving;
 			},
 			onNewerVersion: (member) => this.peerConfiguration.fetchFrom(member),
 			onOwnedChanged: (owned) => {
-				this.owned = owned;
-				this.followLoads();
+				this.ownedEndpoints = owned;
+				this.updateLoadPolling();
 			},
 		});
 	}
@@ -309,5 +307,5 @@
 }
 
 function sleep(ms: number): Promise<void> {
-	return new Promise((done) => setTimeout(done, ms));
+	return new Promise((resolve) => setTimeout(resolve, ms));
 }
--- a/src/daemon/fleet-node.ts
+++ b/src/daemon/fleet-node.ts
@@ -1,5 +1,5 @@
 /**
- * One daemon's part in the fleet: membership, ownership of endpoints, granted slots.
+ * Connects a daemon to the fleet: membership, endpoint ownership, and slots granted by owners.
  * @module
  */
 import type { ConfigurationView, Endpoint } from '../core/configuration/index.js';
@@ -15,27 +15,23 @@
 import type { Timeline } from '../core/timeline/index.js';
 import { eventKinds } from '../core/timeline/index.js';
 
-/** Time between two looks at timers and ledgers, in milliseconds. */
-const tickMs = 100;
-/** Least time between two looks for reports that are due, in milliseconds. */
-const reportMs = 10;
-/** Least time between two decisions on owned endpoints, in milliseconds. */
-const decideMs = 10;
-/** Time between two reads of the VM list, in milliseconds. */
-const vmListMs = 5000;
-/** A fleet that has just started is read more often, in milliseconds after the start. */
-const firstReadsMs = [300, 700, 1200, 2000, 3500];
-/** A tick that comes so late shows that the process was paused, in milliseconds. */
-const pausedMs = 1000;
-/** After a pause nothing starts for so long, so that views are fresh, in milliseconds. */
-const refreshMs = 500;
+const tickIntervalMs = 100;
+const minReportIntervalMs = 10;
+const minDecisionIntervalMs = 10;
+const vmListIntervalMs = 5000;
+/** Additional reads after the start, so that a fleet that starts together finds itself quickly. */
+const initialVmListReadsMs = [300, 700, 1200, 2000, 3500];
+/** A longer time between two ticks means that the process was paused. */
+const pauseThresholdMs = 1000;
+/** Dispatch stays suspended this long after a pause, until peers have sent their state. */
+const dispatchPauseMs = 500;
 
-/** Start of the numbers that stand for times in messages: 2026-01-01. */
-const numbersFromMs = 1_767_225_600_000;
-/** Terms of owners are told apart by this much time, in milliseconds. */
-const epochStepMs = 100;
-/** A process of a VM numbers its reports behind those of the one before, at up to 100 a second. */
-const seqStepMs = 10;
+/** Origin of the time-based numbers in messages: 2026-01-01. */
+const numberingStartMs = 1_767_225_600_000;
+/** Resolution of the epochs of owners. */
+const epochResolutionMs = 100;
+/** After a restart, report numbers exceed earlier ones as long as fewer than 100 a second are sent. */
+const seqResolutionMs = 10;
 
 export interface FleetNodeOptions {
 	self: { id: string; address: string; port: number; domain: string };
@@ -47,10 +43,10 @@
 	router: Router;
 	vmList: VmList;
 	transport: PeerTransport;
-	/** A member has a newer configuration in force. */
+	/** Called when a member has applied a newer configuration. */
 	onNewerVersion: (member: Member) => void;
 	onOwnedChanged: (owned: readonly Endpoint[]) => void;
-	/** Whether the platform's list says that this VM is leaving. */
+	/** Called after each read of the VM list with whether it marks this VM as leaving. */
 	onListedLeaving: (leaving: boolean) => void;
 }
 
@@ -59,30 +55,30 @@
 	readonly ownedLedgers: OwnedLedgers;
 	readonly policy: GrantedPolicy;
 	private readonly timers: NodeJS.Timeout[] = [];
-	private lastTick: number;
-	private version = 0;
-	private appliedMembers = '';
-	private deskDue = false;
+	private lastTickAt: number;
+	private configurationVersion = 0;
+	private appliedMembersKey = '';
+	private isDecisionScheduled = false;
 	private decidedAt = 0;
-	private reportDue = false;
+	private isReportScheduled = false;
 	private reportedAt = 0;
-	private laterTimer?: NodeJS.Timeout;
+	private delayedReportTimer?: NodeJS.Timeout;
 
 	constructor(private readonly opts: FleetNodeOptions) {
 		const { clock, random, self } = opts;
-		this.lastTick = clock.monotonic();
+		this.lastTickAt = clock.monotonic();
 		this.membership = new Membership({
 			self,
 			clock,
 			random,
 			probeIntervalMs: opts.probeIntervalMs,
 			send: ({ to, message }) => opts.transport.send(to, { type: 'membership', body: message }),
-			onChange: (member) => this.memberChanged(member),
+			onChange: (member) => this.handleMemberChange(member),
 		});
 		this.ownedLedgers = new OwnedLedgers({
 			self: self.id,
 			sendReply: (to, body) => this.send(to, { type: 'reply', body }),
-			newEpoch: () => shortTime(clock.wall(), epochStepMs),
+			newEpoch: () => coarseTime(clock.wall(), epochResolutionMs),
 			onOwnedChanged: (owned) => opts.onOwnedChanged(owned),
 			recordEvent: (kind, fields) => opts.timeline.record(kind, fields),
 		});
@@ -94,15 +90,15 @@
 			preempt: (ticket) => opts.router.preempt(ticket),
 			isPreemptable: (ticket) => opts.router.isPreemptable(ticket),
 			wake: () => opts.router.scheduleDispatch(),
-			firstSeq: shortTime(clock.wall(), seqStepMs),
+			firstSeq: coarseTime(clock.wall(), seqResolutionMs),
 		});
 	}
 
 	start(): void {
 		this.applyMembers();
-		this.timers.push(setInterval(() => this.tick(), tickMs));
-		this.timers.push(setInterval(() => void this.readVmList(), vmListMs));
-		for (const wait of firstReadsMs) {
+		this.timers.push(setInterval(() => this.tick(), tickIntervalMs));
+		this.timers.push(setInterval(() => void this.readVmList(), vmListIntervalMs));
+		for (const wait of initialVmListReadsMs) {
 			this.timers.push(setTimeout(() => void this.readVmList(), wait));
 		}
 		void this.readVmList();
@@ -116,48 +112,48 @@
 	}
 
 	configure(cfg: ConfigurationView): void {
-		this.version = cfg.version;
+		this.configurationVersion = cfg.version;
 		this.membership.setConfigurationVersion(cfg.version);
 		this.ownedLedgers.configure(cfg, this.opts.clock.monotonic());
 		this.policy.refreshOwners();
 	}
 
-	/** Requests started or ended: tell the owners what they must know. */
+	/** Schedules a report to the owners after requests have started or ended. */
 	scheduleReport(): void {
-		if (this.reportDue) {
+		if (this.isReportScheduled) {
 			return;
 		}
-		this.reportDue = true;
-		const wait = this.reportedAt + reportMs - this.opts.clock.monotonic();
+		this.isReportScheduled = true;
+		const wait = this.reportedAt + minReportIntervalMs - this.opts.clock.monotonic();
 		setTimeout(() => this.report(), Math.max(wait, 0));
 	}
 
-	/** Takes in what a peer sent. */
+	/** Handles the messages of a peer. */
 	receive(batch: PeerBatch): void {
 		for (const message of batch.messages) {
-			this.receiveOne(batch.from, message);
+			this.receiveMessage(batch.from, message);
 		}
 	}
 
-	private receiveOne(from: string, message: PeerMessage): void {
+	private receiveMessage(from: string, message: PeerMessage): void {
 		const now = this.opts.clock.monotonic();
 		if (message.type === 'membership') {
 			this.membership.receive(message.body);
-			if (message.body.from.version > this.version) {
+			if (message.body.from.version > this.configurationVersion) {
 				this.opts.onNewerVersion(message.body.from);
 			}
 		} else if (message.type === 'report') {
 			this.ownedLedgers.applyReport(from, message.body, now);
-			this.decideSoon();
+			this.scheduleDecision();
 		} else {
 			this.policy.applyReply(from, message.body, now);
 		}
 	}
 
-	/** Messages to this daemon itself take no way over the network. */
+	/** Delivers messages to this daemon locally. */
 	private send(to: string, message: PeerMessage): void {
 		if (to === this.opts.self.id) {
-			setImmediate(() => this.receiveOne(to, message));
+			setImmediate(() => this.receiveMessage(to, message));
 			return;
 		}
 		const member = this.membership.get(to);
@@ -166,67 +162,67 @@
 		}
 	}
 
-	/** At once after a quiet time; under load several reports are decided on together. */
-	private decideSoon(): void {
-		if (this.deskDue) {
+	/** Schedules a decision; under load one decision covers several reports. */
+	private scheduleDecision(): void {
+		if (this.isDecisionScheduled) {
 			return;
 		}
-		this.deskDue = true;
-		const wait = this.decidedAt + decideMs - this.opts.clock.monotonic();
+		this.isDecisionScheduled = true;
+		const wait = this.decidedAt + minDecisionIntervalMs - this.opts.clock.monotonic();
 		setTimeout(() => this.decide(), Math.max(wait, 0));
 	}
 
 	private decide(): void {
-		this.deskDue = false;
+		this.isDecisionScheduled = false;
 		this.decidedAt = this.opts.clock.monotonic();
 		this.ownedLedgers.allocateSlots(this.decidedAt);
 	}
 
 	private tick(): void {
 		const now = this.opts.clock.monotonic();
-		if (now - this.lastTick > pausedMs) {
-			this.wasPaused(now);
+		if (now - this.lastTickAt > pauseThresholdMs) {
+			this.handlePause(now);
 		}
-		this.lastTick = now;
+		this.lastTickAt = now;
 		this.membership.tick();
 		this.decide();
 		this.report();
 	}
 
-	private reportLater(): void {
-		this.laterTimer ??= setTimeout(() => {
-			this.laterTimer = undefined;
+	private scheduleDelayedReport(): void {
+		this.delayedReportTimer ??= setTimeout(() => {
+			this.delayedReportTimer = undefined;
 			this.report();
 		}, escalationDelayMs);
 	}
 
 	private report(): void {
-		this.reportDue = false;
+		this.isReportScheduled = false;
 		this.reportedAt = this.opts.clock.monotonic();
 		const state = this.opts.router.state();
 		if (state && state.cfg.document.policy.name === 'granted') {
-			const again = this.policy.sendDueReports(state);
-			if (again) {
-				this.reportLater();
+			const isReportDue = this.policy.sendDueReports(state);
+			if (isReportDue) {
+				this.scheduleDelayedReport();
 			}
 		}
 	}
 
-	/** What was believed before the pause is no longer true. */
-	private wasPaused(now: number): void {
-		const pausedFor = Math.round(now - this.lastTick);
-		this.opts.log.warn('clock.jumped', { paused_ms: pausedFor });
-		this.opts.timeline.record(eventKinds.clockJumped, { value: pausedFor });
-		this.opts.router.pauseDispatchUntil(now + refreshMs);
+	/** Discards grants and ledgers that became stale during a pause, and rebuilds the view of the fleet. */
+	private handlePause(now: number): void {
+		const pausedForMs = Math.round(now - this.lastTickAt);
+		this.opts.log.warn('clock.jumped', { paused_ms: pausedForMs });
+		this.opts.timeline.record(eventKinds.clockJumped, { value: pausedForMs });
+		this.opts.router.pauseDispatchUntil(now + dispatchPauseMs);
 		this.policy.dropGrants();
 		this.membership.handleProcessResumed();
 		this.ownedLedgers.clear();
-		this.appliedMembers = '';
+		this.appliedMembersKey = '';
 		this.applyMembers();
 		void this.readVmList();
 	}
 
-	private memberChanged(member: Member): void {
+	private handleMemberChange(member: Member): void {
 		this.opts.timeline.record(eventKinds.memberChanged, {
 			member: member.id,
 			reason: member.state,
@@ -242,10 +238,10 @@
 		const live = this.membership.liveMembers().map((member) => member.id);
 		const share = this.membership.visibleShare();
 		const key = `${share} ${live.join(' ')}`;
-		if (key === this.appliedMembers) {
+		if (key === this.appliedMembersKey) {
 			return;
 		}
-		this.appliedMembers = key;
+		this.appliedMembersKey = key;
 		const now = this.opts.clock.monotonic();
 		this.ownedLedgers.setMembers(live, share, now);
 		this.policy.refreshOwners();
@@ -264,7 +260,7 @@
 	}
 }
 
-/** Small numbers that grow with time, so that they take few bytes. */
-function shortTime(wallMs: number, stepMs: number): number {
-	return Math.floor((wallMs - numbersFromMs) / stepMs);
+/** Maps time to small increasing numbers, which encode in few bytes. */
+function coarseTime(wallMs: number, resolutionMs: number): number {
+	return Math.floor((wallMs - numberingStartMs) / resolutionMs);
 }
--- a/src/daemon/listen.ts
+++ b/src/daemon/listen.ts
@@ -1,28 +1,28 @@
 /**
- * Ports of a daemon.
+ * Binds a daemon's servers to their ports.
  * @module
  */
 import type * as http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import type { UdpTransport } from '../infra/peers/udp-transport.js';
 
-/** Ports tried when the system chooses and another program has the UDP port. */
-const portTries = 20;
+/** Attempts to find a port number that is free for both TCP and UDP. */
+const maxPortAttempts = 20;
 
-/** Resolves with the port. */
+/** Resolves with the bound port. */
 export async function listenOn(
 	server: http.Server,
 	address: string,
 	port: number,
 ): Promise<number> {
-	await new Promise<void>((done, failed) => {
-		server.once('error', failed);
-		server.listen(port, address, done);
+	await new Promise<void>((resolve, reject) => {
+		server.once('error', reject);
+		server.listen(port, address, resolve);
 	});
 	return (server.address() as AddressInfo).port;
 }
 
-/** TCP and UDP take the same number; the system chooses again when UDP is taken. */
+/** Binds TCP and UDP to the same port number; with port 0, retries if the UDP port is in use. */
 export async function listenOnTcpAndUdp(
 	server: http.Server,
 	transport: UdpTransport,
@@ -34,10 +34,10 @@
 		try {
 			return await transport.bind(address, chosen);
 		} catch (err) {
-			if (port !== 0 || attempt >= portTries) {
+			if (port !== 0 || attempt >= maxPortAttempts) {
 				throw err;
 			}
-			await new Promise((done) => server.close(done));
+			await new Promise((resolve) => server.close(resolve));
 		}
 	}
 }
--- a/src/daemon/load-poller.ts
+++ b/src/daemon/load-poller.ts
@@ -1,12 +1,12 @@
 /**
- * Reads the load reports of endpoints, at a steady pace with jitter.
+ * Polls the load reports of engines at a fixed interval with jitter.
  * @module
  */
 import type { Endpoint } from '../core/configuration/index.js';
 import { endpointKinds } from '../core/configuration/index.js';
 import type { EndpointClient, LoadReport, Random } from '../core/definitions.js';
 
-const everyMs = 1000;
+const pollIntervalMs = 1000;
 
 export interface LoadPollerOptions {
 	endpoints: EndpointClient;
@@ -15,22 +15,22 @@
 }
 
 export class LoadPoller {
-	private followed = new Map<string, Endpoint>();
+	private polledEndpoints = new Map<string, Endpoint>();
 	private readonly timers = new Map<string, NodeJS.Timeout>();
 
 	constructor(private readonly opts: LoadPollerOptions) {}
 
-	/** Reads the reports of these endpoints from now on. */
+	/** Sets the endpoints to poll; those that are not engines are ignored. */
 	setEndpoints(endpoints: readonly Endpoint[]): void {
 		const engines = endpoints.filter((endpoint) => endpoint.kind === endpointKinds.engine);
-		this.followed = new Map(engines.map((endpoint) => [endpoint.name, endpoint]));
+		this.polledEndpoints = new Map(engines.map((endpoint) => [endpoint.name, endpoint]));
 		for (const [name, timer] of this.timers) {
-			if (!this.followed.has(name)) {
+			if (!this.polledEndpoints.has(name)) {
 				clearTimeout(timer);
 				this.timers.delete(name);
 			}
 		}
-		for (const name of this.followed.keys()) {
+		for (const name of this.polledEndpoints.keys()) {
 			if (!this.timers.has(name)) {
 				this.schedule(name);
 			}
@@ -42,7 +42,7 @@
 	}
 
 	private schedule(name: string): void {
-		const wait = everyMs * (0.75 + this.opts.random.next() / 2);
+		const wait = pollIntervalMs * (0.75 + this.opts.random.next() / 2);
 		this.timers.set(
 			name,
 			setTimeout(() => void this.poll(name), wait),
@@ -50,16 +50,16 @@
 	}
 
 	private async poll(name: string): Promise<void> {
-		const endpoint = this.followed.get(name);
+		const endpoint = this.polledEndpoints.get(name);
 		if (!endpoint) {
 			return;
 		}
 		try {
 			this.opts.onReport(name, await this.opts.endpoints.fetchLoad(endpoint.url));
 		} catch {
-			// An endpoint that gives no report is judged by its answers alone.
+			// Load reports are optional: without one, only the endpoint's answers count.
 		}
-		if (this.followed.has(name)) {
+		if (this.polledEndpoints.has(name)) {
 			this.schedule(name);
 		}
 	}
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -11,7 +11,7 @@
 import { LineLog } from '../infra/line-log.js';
 import { Daemon } from './daemon.js';
 
-/** Exit codes, by the custom of sysexits. */
+/** Exit codes, following sysexits.h where it has one. */
 const exitCodes = { ok: 0, failed: 1, usage: 64, unreadable: 66, configuration: 78 } as const;
 
 await yargs(hideBin(process.argv))
--- a/src/daemon/peer-answer-fetcher.ts
+++ b/src/daemon/peer-answer-fetcher.ts
@@ -1,5 +1,5 @@
 /**
- * Asks the daemon that holds a claim for the answer of its request.
+ * Fetches the answer of a claimed request from the daemon that holds the claim.
  * @module
  */
 import type { ClaimRecord } from '../core/claims/claims.js';
@@ -9,7 +9,7 @@
 import type { StoredAnswer } from '../core/requests/answer-store.js';
 import { createControlClient } from '../infra/control/control-client.js';
 
-/** Longest wait for an answer that another daemon is getting, in milliseconds. */
+/** Timeout for an answer that may still be in progress on the other daemon. */
 const waitMs = 60_000;
 
 export interface PeerAnswerFetcherOptions {
@@ -21,7 +21,7 @@
 export class PeerAnswerFetcher {
 	constructor(private readonly opts: PeerAnswerFetcherOptions) {}
 
-	/** Resolves when the answer has ended; undefined when it cannot be had. */
+	/** Resolves once the answer has ended; undefined if it is not available. */
 	async fetch(holder: ClaimRecord): Promise<StoredAnswer | undefined> {
 		const member = this.opts.membership()?.get(holder.vm);
 		if (!member || member.state === memberStates.dead) {
--- a/src/daemon/peer-configuration-fetcher.ts
+++ b/src/daemon/peer-configuration-fetcher.ts
@@ -1,5 +1,5 @@
 /**
- * Takes a newer configuration from a peer that has it in force.
+ * Fetches a newer configuration from a peer that has applied it.
  * @module
  */
 import type { VersionedConfiguration } from '../core/configuration/index.js';
@@ -7,8 +7,8 @@
 import type { Member } from '../core/membership/types.js';
 import { createControlClient } from '../infra/control/control-client.js';
 
-/** Fetches start within this time, so that one peer is not asked by all at once, in milliseconds. */
-const jitterMs = 100;
+/** Random delay before a fetch, so that not all daemons ask one peer at once. */
+const maxJitterMs = 100;
 
 export interface PeerConfigurationFetcherOptions {
 	token: string;
@@ -18,17 +18,17 @@
 }
 
 export class PeerConfigurationFetcher {
-	private fetching = false;
+	private isFetching = false;
 
 	constructor(private readonly opts: PeerConfigurationFetcherOptions) {}
 
-	/** One fetch at a time; a failed one is tried again with the next news. */
+	/** Starts a fetch unless one is running; a failed fetch is retried on the next gossip. */
 	fetchFrom(member: Member): void {
-		if (this.fetching) {
+		if (this.isFetching) {
 			return;
 		}
-		this.fetching = true;
-		setTimeout(() => void this.fetch(member), jitterMs * this.opts.random.next());
+		this.isFetching = true;
+		setTimeout(() => void this.fetch(member), maxJitterMs * this.opts.random.next());
 	}
 
 	private async fetch(member: Member): Promise<void> {
@@ -42,7 +42,7 @@
 			const error = (err as Error).message;
 			this.opts.log.warn('configuration.fetch-failed', { member: member.id, error });
 		} finally {
-			this.fetching = false;
+			this.isFetching = false;
 		}
 	}
 }
--- a/test/features/leaving.feature
+++ b/test/features/leaving.feature
@@ -1,28 +1,28 @@
-Feature: Leaving and stopping
+Feature: Draining and graceful shutdown
 
-	Scenario: A drained endpoint gets no new work
+	Scenario: A drained endpoint receives no new requests
 		Given a fleet of 3 daemons and 2 engines
 		When the operator drains engine 1
 		And 12 callers stream answers of 5 tokens
 		Then every answer is whole
-		And engine 1 ran nothing
+		And engine 1 received no requests
 
-	Scenario: An engine that says it is leaving gets no new work
+	Scenario: An engine that reports that it is leaving receives no new requests
 		Given a fleet of 3 daemons and 2 engines
-		When engine 1 says that it is leaving and 3 seconds pass
+		When engine 1 reports that it is leaving and 3 seconds pass
 		And 12 callers stream answers of 5 tokens
 		Then every answer is whole
-		And engine 1 ran nothing
+		And engine 1 received no requests
 
-	Scenario: A VM that the platform lists as leaving takes no new requests and finishes the others
+	Scenario: A VM that the VM list marks as leaving refuses new requests and finishes active ones
 		Given a fleet of 2 daemons and 1 engine
-		When 4 callers stream answers of 100 tokens and the list says that VM 1 is leaving
+		When 4 callers stream answers of 100 tokens and the VM list marks VM 1 as leaving
 		Then every answer is whole
-		And daemon 1 refused new requests while it stopped
+		And daemon 1 refused new requests while it was stopping
 
-	Scenario: A planned stop cuts off no request in flight
+	Scenario: A graceful shutdown finishes the active requests
 		Given a fleet of 2 daemons and 2 engines
-		When 8 callers stream answers of 100 tokens and daemon 1 is told to stop in between
+		When 8 callers stream answers of 100 tokens and daemon 1 receives SIGTERM midway
 		Then every answer is whole
 		And daemon 1 ended with exit code 0
-		And daemon 1 refused new requests while it stopped
+		And daemon 1 refused new requests while it was stopping
--- a/test/steps/callers.steps.ts
+++ b/test/steps/callers.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of callers: the unchanged openai client, plain HTTP.
+ * Steps of callers that use the openai client or plain HTTP.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -88,7 +88,7 @@
 	},
 );
 
-/** Posts to the plain service through a daemon. */
+/** Posts to the member-portal service through a daemon. */
 export async function post(
 	world: FleetWorld,
 	daemon: number,
@@ -127,7 +127,7 @@
 	},
 );
 
-/** A chat request by plain HTTP; resolves with status and error name. */
+/** Sends a chat request by plain HTTP; resolves with status, error name and outcome. */
 async function refusal(
 	world: FleetWorld,
 	body: string,
@@ -175,7 +175,7 @@
 );
 
 cucumber.Then(
-	'a caller that writes {int} bytes before it reads is told {int}',
+	'a caller that writes {int} bytes before it reads receives status {int}',
 	async function (this: FleetWorld, bytes: number, status: number) {
 		const url = new URL(this.running.daemonUrls[0] as string);
 		const authorization = `authorization: Bearer ${keyOf('listener-app')}`;
--- a/test/steps/faults.steps.ts
+++ b/test/steps/faults.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps that bring about failures of the platform, endpoints and daemons.
+ * Steps that inject failures of the platform, endpoints and daemons.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -25,7 +25,7 @@
 );
 
 cucumber.When(
-	'newsroom posts {string} with key {string} through daemon 1 and leaves during the claim',
+	'newsroom posts {string} with key {string} through daemon 1 and disconnects during the claim',
 	async function (this: FleetWorld, id: string, key: string) {
 		const { platform } = this.running;
 		const writes = async () => (await this.running.stats<{ writes: number }>(platform)).writes;
@@ -41,7 +41,7 @@
 	},
 );
 
-cucumber.Given('the portal cuts connections after the effect', async function (this: FleetWorld) {
+cucumber.Given('the portal closes connections after the effect', async function (this: FleetWorld) {
 	await this.running.fault(this.running.services[0], { cutAfterEffect: true });
 });
 
@@ -52,7 +52,7 @@
 });
 
 cucumber.Given(
-	'engine {int} cuts its streams after {int} tokens',
+	'engine {int} breaks its streams after {int} tokens',
 	async function (this: FleetWorld, engine: number, tokens: number) {
 		await this.running.fault(this.running.engines[engine - 1], { cutAfterTokens: tokens });
 	},
@@ -77,7 +77,9 @@
 	'{word} posts {string} with key {string} through every daemon at once',
 	async function (this: FleetWorld, customer: string, id: string, key: string) {
 		await this.running.fault(this.running.services[0], { delayMs: 200 });
-		const posts = this.running.daemons.map((_daemon, at) => post(this, at, customer, id, key));
+		const posts = this.running.daemons.map((_daemon, index) =>
+			post(this, index, customer, id, key),
+		);
 		this.seen.set('posts', await Promise.all(posts));
 	},
 );
@@ -89,11 +91,11 @@
 });
 
 cucumber.When(
-	'newsroom posts {string} with key {string} and daemon 1 dies after the effect',
+	'newsroom posts {string} with key {string} and daemon 1 is killed after the effect',
 	async function (this: FleetWorld, id: string, key: string) {
 		await this.running.fault(this.running.services[0], { delayMs: 60_000 });
 		const lost = post(this, 0, 'newsroom', id, key).catch(() => undefined);
-		await effectOf(this, id);
+		await waitForEffect(this, id);
 		await end(this.running.daemons[0] as never);
 		await lost;
 		const isDead = (member: { state: string }) => member.state === 'dead';
@@ -105,26 +107,26 @@
 );
 
 cucumber.When(
-	'newsroom posts {string} with key {string} through daemon 1 and leaves',
+	'newsroom posts {string} with key {string} through daemon 1 and disconnects',
 	async function (this: FleetWorld, id: string, key: string) {
 		await this.running.fault(this.running.services[0], { delayMs: 1500 });
 		const caller = new AbortController();
 		const left = post(this, 0, 'newsroom', id, key, caller.signal).catch(() => undefined);
-		await effectOf(this, id);
+		await waitForEffect(this, id);
 		caller.abort();
 		await left;
 	},
 );
 
 cucumber.When(
-	'newsroom comes back with {string} and key {string} through daemon 2',
+	'newsroom retries {string} with key {string} through daemon 2',
 	async function (this: FleetWorld, id: string, key: string) {
 		this.seen.set('post', await post(this, 1, 'newsroom', id, key));
 	},
 );
 
-/** Waits until the portal has had the effect. */
-async function effectOf(world: FleetWorld, id: string): Promise<void> {
+/** Waits until the portal has recorded the effect. */
+async function waitForEffect(world: FleetWorld, id: string): Promise<void> {
 	const [portal] = world.running.services;
 	while (!(await world.running.stats<Record<string, number>>(portal, '/effects'))[id]) {
 		await sleep(20);
@@ -164,15 +166,18 @@
 );
 
 cucumber.When(
-	'engine {int} says that it is leaving and {int} seconds pass',
+	'engine {int} reports that it is leaving and {int} seconds pass',
 	async function (this: FleetWorld, engine: number, seconds: number) {
 		await this.running.fault(this.running.engines[engine - 1], { leaving: true });
 		await sleep(seconds * 1000);
 	},
 );
 
-cucumber.Then('engine {int} ran nothing', async function (this: FleetWorld, engine: number) {
-	const stats = await this.running.stats<EngineStats>(this.running.engines[engine - 1]);
-	assert.deepEqual(stats.runs, {});
-	assert.equal(stats.refused, 0);
-});
+cucumber.Then(
+	'engine {int} received no requests',
+	async function (this: FleetWorld, engine: number) {
+		const stats = await this.running.stats<EngineStats>(this.running.engines[engine - 1]);
+		assert.deepEqual(stats.runs, {});
+		assert.equal(stats.refused, 0);
+	},
+);
--- a/test/steps/fleet.steps.ts
+++ b/test/steps/fleet.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about the order over the whole fleet, judged by the oracle.
+ * Steps about the priority order across the fleet, checked by the oracle.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -37,7 +37,7 @@
 	},
 );
 
-async function swamp(
+async function replayBurst(
 	world: FleetWorld,
 	fault: () => void | Promise<void>,
 	cls = 'archive',
@@ -66,45 +66,48 @@
 }
 
 cucumber.When(
-	'archive swamps daemon 1 and rundown comes through daemon 2',
+	'archive floods daemon 1 while rundown arrives at daemon 2',
 	async function (this: FleetWorld) {
-		await swamp(this, () => {});
+		await replayBurst(this, () => {});
 	},
 );
 
 cucumber.When(
-	'chat swamps daemon 1 and rundown comes through daemon 2',
+	'chat floods daemon 1 while rundown arrives at daemon 2',
 	async function (this: FleetWorld) {
-		await swamp(this, () => {}, 'chat');
+		await replayBurst(this, () => {}, 'chat');
 	},
 );
 
 cucumber.When(
-	'chat swamps daemon 1 and archive comes through daemon 2',
+	'chat floods daemon 1 while archive arrives at daemon 2',
 	async function (this: FleetWorld) {
 		const archive = { class: 'archive', customer: 'archive-desk' };
-		await swamp(this, () => {}, 'chat', archive);
+		await replayBurst(this, () => {}, 'chat', archive);
 	},
 );
 
-cucumber.Then('archive ran as a minimum during the burst', async function (this: FleetWorld) {
-	const events = await eventsOf(this);
-	const floors = events.filter((event) => event.cls === 'archive' && event.floor === true);
-	assert.ok(floors.length > 0);
-});
+cucumber.Then(
+	'archive ran in its reserved slots during the burst',
+	async function (this: FleetWorld) {
+		const events = await eventsOf(this);
+		const floors = events.filter((event) => event.cls === 'archive' && event.floor === true);
+		assert.ok(floors.length > 0);
+	},
+);
 
 cucumber.When(
-	'archive swamps daemon 1 and rundown comes through daemon 2 while daemon 3 is killed',
+	'archive floods daemon 1 while rundown arrives at daemon 2 and daemon 3 is killed',
 	async function (this: FleetWorld) {
-		await swamp(this, () => end(this.running.daemons[2] as never));
+		await replayBurst(this, () => end(this.running.daemons[2] as never));
 	},
 );
 
 cucumber.When(
-	'archive swamps daemon 1 and rundown comes through daemon 2 while daemon 3 is frozen',
+	'archive floods daemon 1 while rundown arrives at daemon 2 and daemon 3 is frozen',
 	async function (this: FleetWorld) {
 		const child = this.running.daemons[2]?.child;
-		await swamp(this, () => void child?.kill('SIGSTOP'));
+		await replayBurst(this, () => void child?.kill('SIGSTOP'));
 		child?.kill('SIGCONT');
 	},
 );
@@ -116,7 +119,7 @@
 	assert.deepEqual(wrong, []);
 });
 
-/** Events of the daemons that still run. */
+/** Merged events of the daemons that are still running. */
 async function eventsOf(world: FleetWorld): Promise<TimelineEvent[]> {
 	const timelines: TimelineEvent[][] = [];
 	for (const [index, daemon] of world.running.daemons.entries()) {
@@ -130,7 +133,7 @@
 
 async function findingsOf(world: FleetWorld, cls?: string): Promise<Findings> {
 	const merged = await eventsOf(world);
-	// Of other classes only the starts count when one class is asked about.
+	// For a single class, the oracle still needs the starts of the others.
 	const events = merged.filter(
 		(event) => cls === undefined || event.cls === cls || event.kind === 'request.started',
 	);
@@ -162,23 +165,23 @@
 	);
 });
 
-cucumber.When('the fuzz run drives the baseline', async function (this: FleetWorld) {
+cucumber.When('the fuzz run tests the independent policy', async function (this: FleetWorld) {
 	const run = fuzz(200, fuzzSeed, 'independent');
 	this.seen.set('finding', await run.then(() => undefined).catch((err: unknown) => err));
 });
 
 cucumber.When(
-	'the fuzz run drives {int} command sequences',
+	'the fuzz run tests {int} command sequences',
 	async function (this: FleetWorld, runs: number) {
 		const run = fuzz(runs, fuzzSeed);
 		this.seen.set('finding', await run.then(() => undefined).catch((err: unknown) => err));
 	},
 );
 
-cucumber.Then('the oracle has a finding', function (this: FleetWorld) {
+cucumber.Then('the fuzz run reports a violation', function (this: FleetWorld) {
 	assert.match(String(this.seen.get('finding')), /Property failed/);
 });
 
-cucumber.Then('the oracle has no finding', function (this: FleetWorld) {
+cucumber.Then('the fuzz run reports no violation', function (this: FleetWorld) {
 	assert.equal(this.seen.get('finding'), undefined, String(this.seen.get('finding')));
 });
--- a/test/steps/lookups.steps.ts
+++ b/test/steps/lookups.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about look-ups that are kept up to date or indexed, against the plain way.
+ * Steps that compare incremental and indexed lookups with a direct computation.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -16,8 +16,8 @@
 	'after each of {int} changes of members every endpoint has the owner that scores highest',
 	(changes: number) => {
 		const rng = seeded(seed);
-		const keys = Array.from({ length: 40 }, (_, at) => `engine-${at}`);
-		const all = Array.from({ length: 12 }, (_, at) => `vm-${at}`);
+		const keys = Array.from({ length: 40 }, (_, index) => `engine-${index}`);
+		const all = Array.from({ length: 12 }, (_, index) => `vm-${index}`);
 		const owners = new OwnerMap();
 		owners.setKeys(keys);
 		for (let change = 0; change < changes; change++) {
@@ -33,19 +33,19 @@
 cucumber.Then(
 	'each of {int} keys finds its own customer and {int} other keys find none',
 	(many: number, others: number) => {
-		const customers = Array.from({ length: many }, (_, at) => ({
-			name: `customer-${at}`,
-			key_hashes: [hashToken(`key-${at}`)],
+		const customers = Array.from({ length: many }, (_, index) => ({
+			name: `customer-${index}`,
+			key_hashes: [hashToken(`key-${index}`)],
 			default_class: 'chat',
 			classes: [],
 			weight: 1,
 		}));
-		const index = new KeyIndex(customers);
-		for (const [at, customer] of customers.entries()) {
-			assert.equal(index.find(hashToken(`key-${at}`)), customer);
+		const keyIndex = new KeyIndex(customers);
+		for (const [index, customer] of customers.entries()) {
+			assert.equal(keyIndex.find(hashToken(`key-${index}`)), customer);
 		}
-		for (let at = 0; at < others; at++) {
-			assert.equal(index.find(hashToken(`other-${at}`)), undefined);
+		for (let index = 0; index < others; index++) {
+			assert.equal(keyIndex.find(hashToken(`other-${index}`)), undefined);
 		}
 	},
 );
--- a/test/steps/streams.steps.ts
+++ b/test/steps/streams.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps with several streams at once, and a fault in between.
+ * Steps with several concurrent streams and a fault while they run.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -15,11 +15,11 @@
 	error?: string;
 }
 
-/** A fault that is brought about once every stream has begun. */
+/** Injects a fault once every stream has begun. */
 type Fault = () => void | Promise<void>;
 
 cucumber.Given(
-	'a fleet of {int} daemon(s) and {int} engines that are given up after {int} ms',
+	'a fleet of {int} daemon(s) and {int} engines with a stall timeout of {int} ms',
 	async function (this: FleetWorld, daemons: number, engines: number, stallMs: number) {
 		const settings = () => `[limits]\nstall_ms = ${stallMs}`;
 		const stalling = Array.from({ length: engines }, () => ({}));
@@ -29,15 +29,15 @@
 
 async function stream(
 	world: FleetWorld,
-	at: number,
+	index: number,
 	tokens: number,
 	begun: () => void,
 ): Promise<Answer> {
-	const prompt = `stream ${at} len=${tokens}`;
+	const prompt = `stream ${index} len=${tokens}`;
 	const answer: Answer = { prompt, text: '' };
 	const urls = world.running.daemonUrls;
 	const client = new OpenAI({
-		baseURL: `${urls[at % urls.length]}/v1`,
+		baseURL: `${urls[index % urls.length]}/v1`,
 		apiKey: keyOf('listener-app'),
 		maxRetries: 0,
 	});
@@ -67,17 +67,17 @@
 	let waiting = callers;
 	const faulted = new Promise<void>((done, failed) => {
 		const seen = new Set<number>();
-		const begun = (at: number) => {
-			if (!seen.has(at)) {
-				seen.add(at);
+		const begun = (index: number) => {
+			if (!seen.has(index)) {
+				seen.add(index);
 				waiting--;
 				if (waiting === 0) {
 					Promise.resolve(fault()).then(done, failed);
 				}
 			}
 		};
-		const all = Array.from({ length: callers }, (_, at) =>
-			stream(world, at, tokens, () => begun(at)),
+		const all = Array.from({ length: callers }, (_, index) =>
+			stream(world, index, tokens, () => begun(index)),
 		);
 		world.seen.set('streams', Promise.all(all));
 	});
@@ -93,7 +93,7 @@
 );
 
 cucumber.When(
-	'{int} callers stream answers of {int} tokens and engine {int} is killed in between',
+	'{int} callers stream answers of {int} tokens and engine {int} is killed midway',
 	async function (this: FleetWorld, callers: number, tokens: number, engine: number) {
 		const proc = this.running.engines[engine - 1];
 		assert.ok(proc);
@@ -102,7 +102,7 @@
 );
 
 cucumber.When(
-	'{int} callers stream answers of {int} tokens and engine {int} stalls in between',
+	'{int} callers stream answers of {int} tokens and engine {int} stalls midway',
 	async function (this: FleetWorld, callers: number, tokens: number, engine: number) {
 		const proc = this.running.engines[engine - 1];
 		await streamAll(this, callers, tokens, () => this.running.fault(proc, { stalled: true }));
@@ -110,7 +110,7 @@
 );
 
 cucumber.When(
-	'{int} callers stream answers of {int} tokens and daemon {int} is told to stop in between',
+	'{int} callers stream answers of {int} tokens and daemon {int} receives SIGTERM midway',
 	async function (this: FleetWorld, callers: number, tokens: number, daemon: number) {
 		const proc = this.running.daemons[daemon - 1];
 		assert.ok(proc);
@@ -130,7 +130,7 @@
 );
 
 cucumber.When(
-	'{int} callers stream answers of {int} tokens and the list says that VM {int} is leaving',
+	'{int} callers stream answers of {int} tokens and the VM list marks VM {int} as leaving',
 	async function (this: FleetWorld, callers: number, tokens: number, vm: number) {
 		const proc = this.running.daemons[vm - 1];
 		assert.ok(proc);
@@ -151,7 +151,7 @@
 });
 
 cucumber.Then(
-	'every answer ends with an error that says {string} or is whole',
+	'every answer is whole or ends with an error that says {string}',
 	function (this: FleetWorld, _outcome: string) {
 		for (const answer of this.seen.get('answers') as Answer[]) {
 			const whole = answer.text === wholeAnswer(answer.prompt);
@@ -160,12 +160,12 @@
 	},
 );
 
-cucumber.Then('no answer that is not whole ended cleanly', function (this: FleetWorld) {
+cucumber.Then('no incomplete answer ended cleanly', function (this: FleetWorld) {
 	const answers = this.seen.get('answers') as Answer[];
 	assert.ok(answers.some((answer) => answer.error !== undefined));
 	for (const answer of answers) {
-		const part = wholeAnswer(answer.prompt).startsWith(answer.text);
-		assert.ok(part, 'a part that is not the start of the answer');
+		const isPrefix = wholeAnswer(answer.prompt).startsWith(answer.text);
+		assert.ok(isPrefix, 'the text is not a prefix of the answer');
 		assert.ok(answer.error !== undefined || answer.text === wholeAnswer(answer.prompt));
 	}
 });
@@ -178,7 +178,7 @@
 );
 
 cucumber.Then(
-	'daemon {int} refused new requests while it stopped',
+	'daemon {int} refused new requests while it was stopping',
 	function (this: FleetWorld, _daemon: number) {
 		assert.equal(this.seen.get('ready while stopping'), 503);
 	},
