--- a/bench/control-cost.ts
+++ b/bench/control-cost.ts
@@ -97,7 +97,7 @@
 	};
 	const trace = makeTrace(lakeshore, [stream], daemons);
 	const keys = new Map(lakeshore.customers.map(({ name }) => [name, keyOf(name)]));
-	const client = new ReplayClient({ daemons: fleet.daemonUrls, keys, timeoutMs: 60_000 });
+	const client = new ReplayClient({ daemonUrls: fleet.daemonUrls, keys, timeoutMs: 60_000 });
 	await client.replay(trace);
 }
 
--- a/bench/experiment.ts
+++ b/bench/experiment.ts
@@ -103,7 +103,7 @@
 	opts: ExperimentOptions,
 ): Promise<ExperimentResult> {
 	const keys = new Map(cfg.customers.map((customer) => [customer.name, keyOf(customer.name)]));
-	const client = new ReplayClient({ daemons: fleet.daemonUrls, keys, timeoutMs: tailMs });
+	const client = new ReplayClient({ daemonUrls: fleet.daemonUrls, keys, timeoutMs: tailMs });
 	const collector = new EventCollector(fleet);
 	const before = await totals(fleet);
 	const began = Date.now();
--- a/bench/message-cost.ts
+++ b/bench/message-cost.ts
@@ -96,11 +96,11 @@
 async function overDatagrams(): Promise<Row> {
 	const clock = new HybridClock(new SystemClock());
 	let arrived = () => {};
-	const options = { token: peerToken, tickMs: 0, clock };
+	const options = { token: peerToken, flushIntervalMs: 0, clock };
 	const back = { id: 'a', address: '127.0.0.1', port: 0 };
 	const there = { id: 'b', address: '127.0.0.1', port: 0 };
-	const a = new UdpTransport({ ...options, self: 'a', onBatch: () => arrived() });
-	const b = new UdpTransport({ ...options, self: 'b', onBatch: () => b.send(back, report) });
+	const a = new UdpTransport({ ...options, selfId: 'a', onBatch: () => arrived() });
+	const b = new UdpTransport({ ...options, selfId: 'b', onBatch: () => b.send(back, report) });
 	back.port = await a.bind('127.0.0.1', 0);
 	there.port = await b.bind('127.0.0.1', 0);
 	const bytes = () => a.traffic.bytesSent + a.traffic.bytesReceived;
--- a/bench/quickstart.ts
+++ b/bench/quickstart.ts
@@ -35,7 +35,7 @@
 	await fleet.apply(cfg);
 	process.stdout.write(`replaying ${trace.length} requests ...\n`);
 	const keys = new Map(cfg.customers.map((customer) => [customer.name, keyOf(customer.name)]));
-	const client = new ReplayClient({ daemons: fleet.daemonUrls, keys, timeoutMs });
+	const client = new ReplayClient({ daemonUrls: fleet.daemonUrls, keys, timeoutMs });
 	const results = await client.replay(trace);
 	const durationS = (trace.at(-1)?.at_ms ?? 0) / 1000;
 	process.stdout.write(`${formatTable(summarize(results, targetsOf(cfg), durationS))}\n`);
--- a/src/cli/explain/index.ts
+++ b/src/cli/explain/index.ts
@@ -4,7 +4,7 @@
  */
 import type * as yargs from 'yargs';
 import { tellStory } from '../../core/explain/story.js';
-import { formatFields } from '../../infra/line-log.js';
+import { formatFields } from '../../infra/logfmt-log.js';
 import { exitCodes } from '../exit-codes.js';
 import { readLogs } from '../log-files.js';
 import type { GlobalArgs } from '../types.js';
--- a/src/cli/query/run-line.ts
+++ b/src/cli/query/run-line.ts
@@ -17,7 +17,7 @@
 	SetCommand,
 } from '../../core/query/types.js';
 import { formatTable } from '../../core/text/table.js';
-import { formatFields } from '../../infra/line-log.js';
+import { formatFields } from '../../infra/logfmt-log.js';
 import { waitInForce } from '../config/in-force.js';
 import { exitCodes } from '../exit-codes.js';
 import type { FleetClient } from '../fleet-client.js';
--- a/src/cli/replay/index.ts
+++ b/src/cli/replay/index.ts
@@ -50,7 +50,7 @@
 		const keys = new Map(Object.entries(JSON.parse(await fs.readFile(args.keys, 'utf8'))));
 		const targets = await readTargets(new FleetClient(args));
 		const client = new ReplayClient({
-			daemons: args.to,
+			daemonUrls: args.to,
 			keys: keys as Map<string, string>,
 			timeoutMs: args.timeout * 1000,
 			onResult: (_result, done, total) => drawBar(done, total),
--- a/src/cli/timeline/index.ts
+++ b/src/cli/timeline/index.ts
@@ -7,7 +7,7 @@
 import type { TimelineEvent } from '../../core/timeline/index.js';
 import { mergeTimelines } from '../../core/timeline/index.js';
 import { timelinePage } from '../../core/timeline/timeline-page.js';
-import { formatFields } from '../../infra/line-log.js';
+import { formatFields } from '../../infra/logfmt-log.js';
 import { exitCodes } from '../exit-codes.js';
 import { FleetClient } from '../fleet-client.js';
 import type { GlobalArgs } from '../types.js';
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -135,7 +135,7 @@
 			log: this.log,
 			limits,
 			configuration: () => this.view,
-			refuses: () => this.refusal(),
+			getRefusal: () => this.refusal(),
 		});
 		this.control = createControlServer(new DaemonControl(this));
 		const callersPort = await listenOn(this.callers.server, vm.address, ports.callers_port);
@@ -229,12 +229,12 @@
 
 	private makeTransport(clock: HybridClock): UdpTransport {
 		return new UdpTransport({
-			self: this.settings.vm.id,
+			selfId: this.settings.vm.id,
 			token: this.settings.peers.token,
-			tickMs: this.settings.peers.tick_ms,
+			flushIntervalMs: this.settings.peers.tick_ms,
 			clock,
 			onBatch: (batch) => this.fleetNode?.receive(batch),
-			isCut: (peer) => this.blockedPeers.has(peer),
+			isPeerBlocked: (peer) => this.blockedPeers.has(peer),
 		});
 	}
 
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -8,7 +8,7 @@
 import { hideBin } from 'yargs/helpers';
 import * as errors from '../core/errors/index.js';
 import * as settings from '../core/settings/index.js';
-import { LineLog } from '../infra/line-log.js';
+import { LogfmtLog } from '../infra/logfmt-log.js';
 import { Daemon } from './daemon.js';
 
 /** Exit codes, following sysexits.h where it has one. */
@@ -61,7 +61,7 @@
 
 async function run(file: string): Promise<void> {
 	const loaded = await load(file);
-	const log = new LineLog({ level: loaded.log.level, base: { vm: loaded.vm.id } });
+	const log = new LogfmtLog({ level: loaded.log.level, baseFields: { vm: loaded.vm.id } });
 	const daemon = new Daemon(loaded, log);
 	try {
 		await daemon.start();
--- a/src/daemon/relay/main.ts
+++ b/src/daemon/relay/main.ts
@@ -11,8 +11,8 @@
 import * as errors from '../../core/errors/index.js';
 import type { RelaySettings } from '../../core/relay/settings.js';
 import { BoundedWriter } from '../../infra/bounded-writer.js';
-import { BudgetedLog } from '../../infra/budgeted-log.js';
-import { LineLog } from '../../infra/line-log.js';
+import { LogfmtLog } from '../../infra/logfmt-log.js';
+import { RateLimitedLog } from '../../infra/rate-limited-log.js';
 import { SystemClock } from '../../infra/system-clock.js';
 import * as platform from '../../platform/index.js';
 import { RelayDaemon } from './relay-daemon.js';
@@ -45,13 +45,13 @@
 		return;
 	}
 	const writer = new BoundedWriter(standardOutput);
-	const lines = new LineLog({
+	const lines = new LogfmtLog({
 		level: 'info',
-		base: { vm: settings.vm.id },
+		baseFields: { vm: settings.vm.id },
 		write: (line) => writer.write(line),
 	});
-	const log = new BudgetedLog(lines, new SystemClock());
-	const linesDropped = () => writer.droppedTotal + log.leftOutTotal;
+	const log = new RateLimitedLog(lines, new SystemClock());
+	const linesDropped = () => writer.droppedTotal + log.suppressedTotal;
 	const daemon = new RelayDaemon(settings, log, linesDropped, sizing);
 	await daemon.start();
 	const onStop = () => void stop(daemon, writer);
--- a/src/infra/callers/answer-assembler.ts
+++ b/src/infra/callers/answer-assembler.ts
@@ -46,12 +46,12 @@
 	private usage?: unknown;
 	private readonly choices = new Map<number, Choice>();
 	/** Bytes of text taken in, roughly. */
-	bytes = 0;
+	textLength = 0;
 
 	constructor(private readonly chat: boolean) {}
 
 	/** Takes in the data of one event. */
-	add(data: string): void {
+	addChunk(data: string): void {
 		const chunk = JSON.parse(data) as Chunk;
 		this.id ||= chunk.id ?? '';
 		this.created ||= chunk.created ?? 0;
@@ -62,7 +62,7 @@
 		}
 	}
 
-	json(): string {
+	toJson(): string {
 		const choices = [...this.choices.entries()].sort((a, b) => a[0] - b[0]);
 		return JSON.stringify({
 			id: this.id,
@@ -82,7 +82,7 @@
 		}
 		const text = part.text ?? part.delta?.content ?? '';
 		choice.content += text;
-		this.bytes += text.length;
+		this.textLength += text.length;
 		if (part.delta?.refusal) {
 			choice.refusal = (choice.refusal ?? '') + part.delta.refusal;
 		}
@@ -102,7 +102,7 @@
 		call.type ??= part.type;
 		call.function.name += part.function?.name ?? '';
 		call.function.arguments += part.function?.arguments ?? '';
-		this.bytes += part.function?.arguments?.length ?? 0;
+		this.textLength += part.function?.arguments?.length ?? 0;
 	}
 
 	private choiceJson(index: number, choice: Choice): object {
--- a/src/infra/callers/callers-server.ts
+++ b/src/infra/callers/callers-server.ts
@@ -12,10 +12,10 @@
 import type { Router } from '../../core/requests/router.js';
 import type { Request } from '../../core/requests/types.js';
 import { outcomes } from '../../core/requests/types.js';
-import { answerEarly } from '../unread-body.js';
-import * as body from './body.js';
-import { answerHeaders, errorBody, errorHeaders } from './error-body.js';
-import { ServiceSink, StreamSink, WholeSink } from './sinks.js';
+import { sendWithLingeringClose } from '../lingering-close.js';
+import { answerHeaderNames, errorBody, errorHeaders } from './error-body.js';
+import * as body from './request-body.js';
+import { JsonSink, ServiceSink, StreamSink } from './sinks.js';
 
 /** Paths of the API that are routed to engines. */
 const modelPaths = {
@@ -35,7 +35,7 @@
 	/** The configuration in force. */
 	configuration: () => ConfigurationView | undefined;
 	/** Why no new requests are taken; undefined when they are. */
-	refuses: () => errors.ErrorData | undefined;
+	getRefusal: () => errors.ErrorData | undefined;
 }
 
 export class CallersServer {
@@ -65,7 +65,7 @@
 			return;
 		}
 		if (path === '/readyz') {
-			const refusal = this.opts.refuses();
+			const refusal = this.opts.getRefusal();
 			sendJson(res, refusal ? 503 : 200, { status: refusal ? refusal.name : 'ready' });
 			return;
 		}
@@ -85,7 +85,7 @@
 	}
 
 	private openConfiguration(): ConfigurationView {
-		const refusal = this.opts.refuses();
+		const refusal = this.opts.getRefusal();
 		const cfg = this.opts.configuration();
 		if (refusal || !cfg) {
 			throw new errors.UserError(refusal ?? errors.data.NotReady, [], { retryAfterS: 1 });
@@ -113,19 +113,19 @@
 	): Promise<void> {
 		const terms = callerRequest.readRequestOptions(cfg, req.headers);
 		const raw = await body.readBody(req, this.opts.limits.body_bytes);
-		const read = body.readModelBody(raw, chat);
+		const read = body.parseModelBody(raw, chat);
 		const target: Target = `model:${read.model}`;
 		const template: CallTemplate = {
 			method: 'POST',
 			path: chat ? modelPaths.chat : modelPaths.completion,
 			headers: { 'content-type': 'application/json' },
-			body: read.forEngine,
+			body: read.engineBody,
 			streamed: true,
 		};
 		const request = this.makeRequest(cfg, terms, target, raw.length);
 		const sink = read.stream
 			? new StreamSink(res, request.id)
-			: new WholeSink(res, request.id, chat, this.opts.limits.answer_bytes);
+			: new JsonSink(res, request.id, chat, this.opts.limits.answer_bytes);
 		this.submit(request, template, sink, res);
 	}
 
@@ -203,7 +203,13 @@
 			return;
 		}
 		const headers = errorHeaders(err, outcomes.notRun);
-		answerEarly(req, res, err.data.status ?? 500, headers, errorBody(err, outcomes.notRun));
+		sendWithLingeringClose(
+			req,
+			res,
+			err.data.status ?? 500,
+			headers,
+			errorBody(err, outcomes.notRun),
+		);
 	}
 }
 
@@ -220,7 +226,7 @@
 	const head = [
 		`HTTP/1.1 ${told.data.status} ${told.data.title}`,
 		'content-type: application/json',
-		`${answerHeaders.outcome}: ${outcomes.notRun}`,
+		`${answerHeaderNames.outcome}: ${outcomes.notRun}`,
 		`content-length: ${Buffer.byteLength(body)}`,
 		'connection: close',
 	];
@@ -230,7 +236,7 @@
 function sendJson(res: http.ServerResponse, status: number, value: unknown): void {
 	res.writeHead(status, {
 		'content-type': 'application/json',
-		[answerHeaders.outcome]: outcomes.complete,
+		[answerHeaderNames.outcome]: outcomes.complete,
 	});
 	res.end(JSON.stringify(value));
 }
--- a/src/infra/callers/error-body.ts
+++ b/src/infra/callers/error-body.ts
@@ -6,9 +6,9 @@
 import type { Outcome } from '../../core/requests/types.js';
 
 /** Response headers of the router; listed in docs/CALLERS.md. */
-export const answerHeaders = {
+export const answerHeaderNames = {
 	outcome: 'x-slategauge-outcome',
-	request: 'x-slategauge-request-id',
+	requestId: 'x-slategauge-request-id',
 	retryAfter: 'retry-after',
 } as const;
 
@@ -30,10 +30,10 @@
 export function errorHeaders(err: UserError, outcome: Outcome): Record<string, string> {
 	const headers: Record<string, string> = {
 		'content-type': 'application/json',
-		[answerHeaders.outcome]: outcome,
+		[answerHeaderNames.outcome]: outcome,
 	};
 	if (err.retryAfterS !== undefined) {
-		headers[answerHeaders.retryAfter] = String(err.retryAfterS);
+		headers[answerHeaderNames.retryAfter] = String(err.retryAfterS);
 	}
 	return headers;
 }
--- a/src/infra/callers/body.ts
+++ b/src/infra/callers/request-body.ts
@@ -21,7 +21,7 @@
 	/** The caller wants a stream. */
 	stream: boolean;
 	/** Body for the engine; always asks for a stream, which can be resumed. */
-	forEngine: Uint8Array;
+	engineBody: Uint8Array;
 }
 
 /** The whole body; throws `TooLarge`. */
@@ -44,7 +44,7 @@
 }
 
 /** Reads a chat or completion body; throws `BadRequest`. */
-export function readModelBody(raw: Buffer, chat: boolean): ModelBody {
+export function parseModelBody(raw: Buffer, chat: boolean): ModelBody {
 	const body = parse(raw);
 	const missing = chat ? body.messages === undefined : body.prompt === undefined;
 	if (missing) {
@@ -58,7 +58,7 @@
 		: Buffer.from(
 				JSON.stringify({ ...body, stream: true, stream_options: { include_usage: true } }),
 			);
-	return { model: body.model, stream, forEngine };
+	return { model: body.model, stream, engineBody: forEngine };
 }
 
 function parse(raw: Buffer): zod.infer<typeof bodySchema> {
--- a/src/infra/callers/sinks.ts
+++ b/src/infra/callers/sinks.ts
@@ -11,7 +11,7 @@
 import type { Outcome } from '../../core/requests/types.js';
 import { outcomes } from '../../core/requests/types.js';
 import { AnswerAssembler } from './answer-assembler.js';
-import { answerHeaders, errorBody, errorHeaders } from './error-body.js';
+import { answerHeaderNames, errorBody, errorHeaders } from './error-body.js';
 
 /** Headers of an endpoint's answer that are not the caller's business. */
 const hopHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding', 'te', 'upgrade']);
@@ -37,7 +37,10 @@
 			return;
 		}
 		const status = err.data.status ?? 500;
-		const headers = { ...errorHeaders(err, outcome), [answerHeaders.request]: this.requestId };
+		const headers = {
+			...errorHeaders(err, outcome),
+			[answerHeaderNames.requestId]: this.requestId,
+		};
 		this.res.writeHead(status, headers);
 		this.res.end(errorBody(err, outcome));
 	}
@@ -48,14 +51,14 @@
 	}
 
 	protected passHead(status: number, headers: Record<string, string>, trailer: boolean): void {
-		const own: Record<string, string> = { [answerHeaders.request]: this.requestId };
+		const own: Record<string, string> = { [answerHeaderNames.requestId]: this.requestId };
 		for (const [name, value] of Object.entries(headers)) {
 			if (!hopHeaders.has(name)) {
 				own[name] = value;
 			}
 		}
 		if (trailer) {
-			own.trailer = answerHeaders.outcome;
+			own.trailer = answerHeaderNames.outcome;
 		}
 		this.res.writeHead(status, own);
 	}
@@ -84,7 +87,7 @@
 	}
 
 	finish(): void {
-		this.res.addTrailers({ [answerHeaders.outcome]: outcomes.complete });
+		this.res.addTrailers({ [answerHeaderNames.outcome]: outcomes.complete });
 		this.res.end();
 	}
 
@@ -107,7 +110,7 @@
 }
 
 /** Puts a stream together for a caller that wants one body. */
-export class WholeSink extends ResponseSink {
+export class JsonSink extends ResponseSink {
 	private readonly assembler: AnswerAssembler;
 	private passing = false;
 	private overflow = false;
@@ -126,17 +129,17 @@
 	start(status: number, headers: Record<string, string>): void {
 		if (status >= 400) {
 			this.passing = true;
-			this.passHead(status, { ...headers, [answerHeaders.outcome]: outcomes.complete }, false);
+			this.passHead(status, { ...headers, [answerHeaderNames.outcome]: outcomes.complete }, false);
 		}
 	}
 
 	writeEvents(events: readonly StreamEvent[]): boolean {
 		for (const event of events) {
 			if (event.data !== doneData && !this.overflow) {
-				this.assembler.add(event.data);
+				this.assembler.addChunk(event.data);
 			}
 		}
-		this.overflow = this.assembler.bytes > this.maxBytes;
+		this.overflow = this.assembler.textLength > this.maxBytes;
 		return true;
 	}
 
@@ -155,10 +158,10 @@
 		}
 		this.res.writeHead(200, {
 			'content-type': 'application/json',
-			[answerHeaders.outcome]: outcomes.complete,
-			[answerHeaders.request]: this.requestId,
+			[answerHeaderNames.outcome]: outcomes.complete,
+			[answerHeaderNames.requestId]: this.requestId,
 		});
-		this.res.end(this.assembler.json());
+		this.res.end(this.assembler.toJson());
 	}
 }
 
@@ -198,11 +201,11 @@
 
 	finish(): void {
 		if (this.streaming) {
-			this.res.addTrailers({ [answerHeaders.outcome]: outcomes.complete });
+			this.res.addTrailers({ [answerHeaderNames.outcome]: outcomes.complete });
 			this.res.end();
 			return;
 		}
-		const headers = { ...this.headers, [answerHeaders.outcome]: outcomes.complete };
+		const headers = { ...this.headers, [answerHeaderNames.outcome]: outcomes.complete };
 		this.passHead(this.status, headers, false);
 		this.res.end(Buffer.concat(this.held));
 	}
--- a/src/infra/http-kv-store.ts
+++ b/src/infra/http-kv-store.ts
@@ -6,7 +6,7 @@
 import type { KvEntry, KvStore, KvSwapResult } from '../core/definitions.js';
 import { KvError } from '../core/definitions.js';
 
-export interface HttpKvOptions {
+export interface HttpKvStoreOptions {
 	url: string;
 	timeoutMs: number;
 }
@@ -20,7 +20,7 @@
 	private readonly pool: undici.Pool;
 	private made = 0;
 
-	constructor(private readonly opts: HttpKvOptions) {
+	constructor(private readonly opts: HttpKvStoreOptions) {
 		this.pool = new undici.Pool(new URL(opts.url).origin, { connections: 16 });
 	}
 
--- a/src/infra/unread-body.ts
+++ b/src/infra/lingering-close.ts
@@ -10,7 +10,7 @@
 const lingerMs = 1500;
 
 /** Sends a whole answer and closes the connection once the caller has stopped writing. */
-export function answerEarly(
+export function sendWithLingeringClose(
 	req: http.IncomingMessage,
 	res: http.ServerResponse,
 	status: number,
--- a/src/infra/line-log.ts
+++ b/src/infra/logfmt-log.ts
@@ -8,10 +8,10 @@
 const levels = { debug: 2, info: 3, warn: 4, error: 5 } as const;
 export type LogLevel = keyof typeof levels;
 
-export interface LineLogOptions {
+export interface LogfmtLogOptions {
 	level: LogLevel;
 	/** Fields that stand on every line. */
-	base: Fields;
+	baseFields: Fields;
 	/** @default writes to standard output */
 	write?: (line: string) => void;
 }
@@ -22,13 +22,13 @@
 	level: string;
 }
 
-export class LineLog implements Log {
+export class LogfmtLog implements Log {
 	private readonly logger: tslog.Logger<unknown>;
 	private readonly base: string;
 
-	constructor(opts: LineLogOptions) {
+	constructor(opts: LogfmtLogOptions) {
 		const write = opts.write ?? ((line: string) => process.stdout.write(line));
-		this.base = formatFields(opts.base);
+		this.base = formatFields(opts.baseFields);
 		this.logger = new tslog.Logger({
 			type: 'hidden',
 			minLevel: levels[opts.level],
--- a/src/infra/peers/codec.ts
+++ b/src/infra/peers/codec.ts
@@ -58,7 +58,7 @@
 }
 
 /** Bytes that a message takes in a batch. */
-export function messageBytes(message: PeerMessage): number {
+export function encodedMessageBytes(message: PeerMessage): number {
 	return msgpack.encode(encodeMessage(message)).length;
 }
 
--- a/src/infra/peers/udp-transport.ts
+++ b/src/infra/peers/udp-transport.ts
@@ -26,13 +26,13 @@
 const receiveBuffer = 1024 * 1024;
 
 export interface UdpTransportOptions {
-	self: string;
+	selfId: string;
 	token: string;
-	tickMs: number;
+	flushIntervalMs: number;
 	clock: HybridClock;
 	onBatch: (batch: PeerBatch) => void;
 	/** Peers that are not to be reached; for tests of cuts. */
-	isCut?: (peer: string) => boolean;
+	isPeerBlocked?: (peer: string) => boolean;
 }
 
 interface Outbox {
@@ -105,14 +105,14 @@
 
 	/** After a quiet time a message leaves at once; under load messages wait for each other. */
 	private untilFlush(): number {
-		return Math.max(0, this.flushedAt + this.opts.tickMs - performance.now());
+		return Math.max(0, this.flushedAt + this.opts.flushIntervalMs - performance.now());
 	}
 
 	private sendPart(to: PeerAddress, messages: PeerMessage[]): void {
-		if (this.closed || this.opts.isCut?.(to.id)) {
+		if (this.closed || this.opts.isPeerBlocked?.(to.id)) {
 			return;
 		}
-		const batch = { from: this.opts.self, time: this.opts.clock.now(), messages };
+		const batch = { from: this.opts.selfId, time: this.opts.clock.now(), messages };
 		const datagram = codec.encodeBatch(batch, this.secret);
 		this.traffic.datagramsSent++;
 		this.traffic.bytesSent += datagram.length + headBytes;
@@ -127,7 +127,7 @@
 			this.traffic.datagramsRejected++;
 			return;
 		}
-		if (this.opts.isCut?.(batch.from)) {
+		if (this.opts.isPeerBlocked?.(batch.from)) {
 			return;
 		}
 		this.opts.clock.receive(batch.time);
@@ -144,7 +144,7 @@
 	let part: PeerMessage[] = [];
 	let size = batchOverhead;
 	for (const message of messages) {
-		const bytes = codec.messageBytes(message);
+		const bytes = codec.encodedMessageBytes(message);
 		if (part.length > 0 && size + bytes > maxPayload) {
 			parts.push(part);
 			part = [];
--- a/src/infra/budgeted-log.ts
+++ b/src/infra/rate-limited-log.ts
@@ -15,10 +15,10 @@
 	leftOut: number;
 }
 
-export class BudgetedLog implements Log {
+export class RateLimitedLog implements Log {
 	private readonly windows = new Map<string, Window>();
 	/** Lines left out since the start. */
-	leftOutTotal = 0;
+	suppressedTotal = 0;
 
 	constructor(
 		private readonly inner: Log,
@@ -63,7 +63,7 @@
 			return true;
 		}
 		window.leftOut++;
-		this.leftOutTotal++;
+		this.suppressedTotal++;
 		return false;
 	}
 }
--- a/src/infra/relay/callers-front.ts
+++ b/src/infra/relay/callers-front.ts
@@ -8,7 +8,7 @@
 import type { Clock, Log } from '../../core/definitions.js';
 import type { CallerRequest, CallerResponse, RawHeaders } from '../../core/relay/definitions.js';
 import type { CallerLimits } from '../../core/routing/types.js';
-import { answerEarly } from '../unread-body.js';
+import { sendWithLingeringClose } from '../lingering-close.js';
 
 /** Largest head that is read at all; the configuration's own bound may be lower. */
 const maxHeadBytes = 65_536;
@@ -256,7 +256,7 @@
 	if (comeBack) {
 		headers['retry-after'] = '0.2';
 	}
-	answerEarly(
+	sendWithLingeringClose(
 		req,
 		res,
 		status,
--- a/src/infra/replay-client.ts
+++ b/src/infra/replay-client.ts
@@ -9,7 +9,7 @@
 
 export interface ReplayOptions {
 	/** Base URLs of daemons, used in turn. */
-	daemons: string[];
+	daemonUrls: string[];
 	/** Bearer key of each customer. */
 	keys: ReadonlyMap<string, string>;
 	/** Called after each result. */
@@ -76,12 +76,12 @@
 	/** As a balancer does: a daemon that cannot be reached is passed over. */
 	private async balance(item: TraceRequest): Promise<undici.Dispatcher.ResponseData> {
 		for (let tries = 1; ; tries++) {
-			const daemon = this.opts.daemons[this.turn++ % this.opts.daemons.length] ?? '';
+			const daemon = this.opts.daemonUrls[this.turn++ % this.opts.daemonUrls.length] ?? '';
 			try {
 				return await this.request(daemon, item);
 			} catch (err) {
 				const refused = (err as { code?: string }).code === 'ECONNREFUSED';
-				if (!refused || tries >= this.opts.daemons.length) {
+				if (!refused || tries >= this.opts.daemonUrls.length) {
 					throw err;
 				}
 			}
--- a/test/steps/fleet.steps.ts
+++ b/test/steps/fleet.steps.ts
@@ -57,7 +57,7 @@
 	);
 	const urls = world.running.daemonUrls;
 	const replay = (trace: typeof low, daemon: number) =>
-		new ReplayClient({ daemons: [urls[daemon] ?? ''], keys, timeoutMs: 130_000 }).replay(trace);
+		new ReplayClient({ daemonUrls: [urls[daemon] ?? ''], keys, timeoutMs: 130_000 }).replay(trace);
 	const timer = setTimeout(() => void fault(), faultAtMs);
 	const [archive, rundown] = await Promise.all([replay(low, 0), replay(high, 1)]);
 	clearTimeout(timer);
