--- a/src/infra/bounded-writer.ts
+++ b/src/infra/bounded-writer.ts
@@ -1,63 +1,63 @@
 /**
- * Writes lines to a file descriptor without ever waiting for a reader: a file takes them at once; all else one write at a time in the
- * background, a bounded number of bytes waiting. What does not fit is dropped, counted and said.
+ * Writes lines to a file descriptor without blocking on a slow reader. Files are written synchronously, pipes and sockets in the
+ * background from a bounded buffer; lines that do not fit are dropped, counted and reported in the output.
  * @module
  */
 import * as fs from 'node:fs';
 
-/** Bytes that may wait for a reader; a few seconds of a busy log. */
-const maxWaitingBytes = 256 * 1024;
+/** Upper bound on buffered output; holds a few seconds of a busy log. */
+const maxPendingBytes = 256 * 1024;
 
 export class BoundedWriter {
-	private waiting: string[] = [];
-	private waitingBytes = 0;
-	private writing = false;
-	private dropped = 0;
-	/** Lines dropped since the start. */
+	private pendingLines: string[] = [];
+	private pendingBytes = 0;
+	private isWriting = false;
+	private unreportedDrops = 0;
+	/** Lines dropped since the process started. */
 	droppedTotal = 0;
-	/** A file has no reader to wait for; in the background each write to it would wake two threads. */
+	/** Files have no slow reader, so they are written synchronously without the thread pool. */
 	private readonly isFile: boolean;
 
 	constructor(private readonly fd: number) {
 		this.isFile = fs.fstatSync(fd).isFile();
 	}
 
-	/** Returns at once; the line may be dropped. */
+	/** Queues a line without blocking; drops it when the buffer is full. */
 	write(line: string): void {
-		if (this.waitingBytes + line.length > maxWaitingBytes) {
-			this.dropped++;
+		if (this.pendingBytes + line.length > maxPendingBytes) {
+			this.unreportedDrops++;
 			this.droppedTotal++;
 			return;
 		}
-		this.waiting.push(line);
-		this.waitingBytes += line.length;
+		this.pendingLines.push(line);
+		this.pendingBytes += line.length;
 		this.flush();
 	}
 
-	/** Writes what waits before the process ends. */
+	/** Resolves when all buffered lines are written; call it before the process exits. */
 	async drain(): Promise<void> {
-		while (this.writing || this.waiting.length > 0) {
+		while (this.isWriting || this.pendingLines.length > 0) {
 			await new Promise((done) => setTimeout(done, 5));
 		}
 	}
 
 	private flush(): void {
-		if (this.writing || this.waiting.length === 0) {
+		if (this.isWriting || this.pendingLines.length === 0) {
 			return;
 		}
-		this.writing = true;
-		// Lines of one turn of the loop leave together.
-		setImmediate(() => this.writeBatch(this.takeWaiting()));
+		this.isWriting = true;
+		// Batches all lines of one event-loop turn into a single write.
+		setImmediate(() => this.writeBatch(this.takePendingBatch()));
 	}
 
-	private takeWaiting(): Buffer {
-		if (this.dropped > 0) {
-			this.waiting.push(`event=log.dropped lines=${this.dropped}\n`);
-			this.dropped = 0;
+	private takePendingBatch(): Buffer {
+		if (this.unreportedDrops > 0) {
+			this.pendingLines.push(`event=log.dropped lines=${this.unreportedDrops}\n`);
+			this.unreportedDrops = 0;
 		}
-		const batch = Buffer.from(this.waiting.join(''));
-		this.waiting = [];
-		this.waitingBytes = 0;
+		const batch = Buffer.from(this.pendingLines.join(''));
+		this.pendingLines = [];
+		this.pendingBytes = 0;
 		return batch;
 	}
 
@@ -72,32 +72,32 @@
 			} else if (!err && written < batch.length) {
 				this.writeBatch(batch.subarray(written));
 			} else {
-				// Any other error means that nobody reads the log; there is nowhere to say so.
-				this.written();
+				// Any other error means that the reader is gone, so there is nowhere to report it.
+				this.finishBatch();
 			}
 		});
 	}
 
-	/** Lines that a full disk does not take count as dropped. */
+	/** Counts the lines that a full disk rejects as dropped. */
 	private writeToFile(batch: Buffer): void {
 		try {
-			for (let at = 0; at < batch.length; ) {
-				at += fs.writeSync(this.fd, batch, at);
+			for (let offset = 0; offset < batch.length; ) {
+				offset += fs.writeSync(this.fd, batch, offset);
 			}
 		} catch {
 			this.countDropped(batch);
 		}
-		this.written();
+		this.finishBatch();
 	}
 
 	private countDropped(batch: Buffer): void {
 		const lines = batch.toString('latin1').split('\n').length - 1;
-		this.dropped += lines;
+		this.unreportedDrops += lines;
 		this.droppedTotal += lines;
 	}
 
-	private written(): void {
-		this.writing = false;
+	private finishBatch(): void {
+		this.isWriting = false;
 		this.flush();
 	}
 }
--- a/src/infra/callers/answer-assembler.ts
+++ b/src/infra/callers/answer-assembler.ts
@@ -1,5 +1,5 @@
 /**
- * Puts the chunks of an OpenAI-compatible stream together into one answer.
+ * Assembles the chunks of an OpenAI-compatible stream into one complete answer.
  * @module
  */
 
@@ -45,70 +45,71 @@
 	private model = '';
 	private usage?: unknown;
 	private readonly choices = new Map<number, Choice>();
-	/** Bytes of text taken in, roughly. */
+	/** Length of the text and tool-call arguments so far, in UTF-16 code units. */
 	textLength = 0;
 
-	constructor(private readonly chat: boolean) {}
+	constructor(private readonly isChat: boolean) {}
 
-	/** Takes in the data of one event. */
+	/** Merges the data of one server-sent event; throws when it is not valid JSON. */
 	addChunk(data: string): void {
 		const chunk = JSON.parse(data) as Chunk;
 		this.id ||= chunk.id ?? '';
 		this.created ||= chunk.created ?? 0;
 		this.model ||= chunk.model ?? '';
 		this.usage = chunk.usage ?? this.usage;
-		for (const part of chunk.choices ?? []) {
-			this.addChoice(part);
+		for (const chunkChoice of chunk.choices ?? []) {
+			this.mergeChoice(chunkChoice);
 		}
 	}
 
+	/** The complete response body. */
 	toJson(): string {
 		const choices = [...this.choices.entries()].sort((a, b) => a[0] - b[0]);
 		return JSON.stringify({
 			id: this.id,
-			object: this.chat ? 'chat.completion' : 'text_completion',
+			object: this.isChat ? 'chat.completion' : 'text_completion',
 			created: this.created,
 			model: this.model,
-			choices: choices.map(([index, choice]) => this.choiceJson(index, choice)),
+			choices: choices.map(([index, choice]) => this.formatChoice(index, choice)),
 			usage: this.usage,
 		});
 	}
 
-	private addChoice(part: ChunkChoice): void {
-		let choice = this.choices.get(part.index);
+	private mergeChoice(chunkChoice: ChunkChoice): void {
+		let choice = this.choices.get(chunkChoice.index);
 		if (!choice) {
 			choice = { content: '', toolCalls: [], finishReason: null };
-			this.choices.set(part.index, choice);
+			this.choices.set(chunkChoice.index, choice);
 		}
-		const text = part.text ?? part.delta?.content ?? '';
+		const text = chunkChoice.text ?? chunkChoice.delta?.content ?? '';
 		choice.content += text;
 		this.textLength += text.length;
-		if (part.delta?.refusal) {
-			choice.refusal = (choice.refusal ?? '') + part.delta.refusal;
+		if (chunkChoice.delta?.refusal) {
+			choice.refusal = (choice.refusal ?? '') + chunkChoice.delta.refusal;
 		}
-		for (const call of part.delta?.tool_calls ?? []) {
-			this.addToolCall(choice, call);
+		for (const toolCall of chunkChoice.delta?.tool_calls ?? []) {
+			this.mergeToolCall(choice, toolCall);
 		}
-		choice.finishReason = part.finish_reason ?? choice.finishReason;
+		choice.finishReason = chunkChoice.finish_reason ?? choice.finishReason;
 	}
 
-	private addToolCall(choice: Choice, part: Partial<ToolCall> & { index: number }): void {
-		let call = choice.toolCalls.find((known) => known.index === part.index);
+	private mergeToolCall(choice: Choice, delta: Partial<ToolCall> & { index: number }): void {
+		let call = choice.toolCalls.find((candidate) => candidate.index === delta.index);
 		if (!call) {
-			call = { index: part.index, function: { name: '', arguments: '' } };
+			call = { index: delta.index, function: { name: '', arguments: '' } };
 			choice.toolCalls.push(call);
 		}
-		call.id ??= part.id;
-		call.type ??= part.type;
-		call.function.name += part.function?.name ?? '';
-		call.function.arguments += part.function?.arguments ?? '';
-		this.textLength += part.function?.arguments?.length ?? 0;
+		call.id ??= delta.id;
+		call.type ??= delta.type;
+		call.function.name += delta.function?.name ?? '';
+		call.function.arguments += delta.function?.arguments ?? '';
+		this.textLength += delta.function?.arguments?.length ?? 0;
 	}
 
-	private choiceJson(index: number, choice: Choice): object {
-		const tail = { index, logprobs: null, finish_reason: choice.finishReason };
-		if (!this.chat) {
-			return { text: choice.content, ...tail };
+	private formatChoice(index: number, choice: Choice): object {
+		const commonFields = { index, logprobs: null, finish_reason: choice.finishReason };
+		if (!this.isChat) {
+			return { text: choice.content, ...commonFields };
 		}
 		const calls = choice.toolCalls.map(({ id, type, function: fn }) => ({
 			id,
@@ -121,6 +122,6 @@
 			refusal: choice.refusal ?? null,
 			...(calls.length > 0 ? { tool_calls: calls } : {}),
 		};
-		return { message, ...tail };
+		return { message, ...commonFields };
 	}
 }
--- a/src/infra/callers/callers-server.ts
+++ b/src/infra/callers/callers-server.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' side: the OpenAI-compatible API, plain services, health and readiness.
+ * HTTP server for callers: the OpenAI-compatible API, plain services, health and readiness checks.
  * @module
  */
 import * as http from 'node:http';
@@ -14,16 +14,16 @@
 import { outcomes } from '../../core/requests/types.js';
 import { sendWithLingeringClose } from '../lingering-close.js';
 import { answerHeaderNames, errorBody, errorHeaders } from './error-body.js';
-import * as body from './request-body.js';
+import * as requestBody from './request-body.js';
 import { JsonSink, ServiceSink, StreamSink } from './sinks.js';
 
-/** Paths of the API that are routed to engines. */
+/** API paths that are routed to engines. */
 const modelPaths = {
 	chat: '/v1/chat/completions',
 	completion: '/v1/completions',
 } as const;
-const servicePattern = /^\/services\/([a-z0-9._-]+)(\/.*)?$/;
-/** Bytes that a waiting request costs beside its body. */
+const servicePathPattern = /^\/services\/([a-z0-9._-]+)(\/.*)?$/;
+/** Estimated memory of a queued request besides its body. */
 const requestOverheadBytes = 1024;
 
 export interface CallersServerOptions {
@@ -32,9 +32,9 @@
 	random: Random;
 	log: Log;
 	limits: { body_bytes: number; header_bytes: number; answer_bytes: number };
-	/** The configuration in force. */
+	/** The current configuration; undefined until one is loaded. */
 	configuration: () => ConfigurationView | undefined;
-	/** Why no new requests are taken; undefined when they are. */
+	/** Why new requests are refused; undefined when they are accepted. */
 	getRefusal: () => errors.ErrorData | undefined;
 }
 
@@ -43,10 +43,10 @@
 	private nextTicket = 1;
 
 	constructor(private readonly opts: CallersServerOptions) {
-		const serverOptions = { maxHeaderSize: opts.limits.header_bytes, keepAliveTimeout: 65_000 };
-		this.server = http.createServer(serverOptions, (req, res) => void this.handle(req, res));
+		const httpOptions = { maxHeaderSize: opts.limits.header_bytes, keepAliveTimeout: 65_000 };
+		this.server = http.createServer(httpOptions, (req, res) => void this.handle(req, res));
 		this.server.on('clientError', (err, socket) =>
-			refuseSocket(err, socket, opts.limits.header_bytes),
+			rejectSocket(err, socket, opts.limits.header_bytes),
 		);
 	}
 
@@ -54,7 +54,7 @@
 		try {
 			await this.route(req, res);
 		} catch (err) {
-			this.refuse(req, res, err);
+			this.sendError(req, res, err);
 		}
 	}
 
@@ -69,22 +69,23 @@
 			sendJson(res, refusal ? 503 : 200, { status: refusal ? refusal.name : 'ready' });
 			return;
 		}
-		const cfg = this.openConfiguration();
-		const service = servicePattern.exec(path);
+		const cfg = this.requireConfiguration();
+		const service = servicePathPattern.exec(path);
 		if (path === '/v1/models' && req.method === 'GET') {
 			this.listModels(cfg, req, res);
 		} else if (path === modelPaths.chat && req.method === 'POST') {
-			await this.model(cfg, req, res, true);
+			await this.submitModelRequest(cfg, req, res, true);
 		} else if (path === modelPaths.completion && req.method === 'POST') {
-			await this.model(cfg, req, res, false);
+			await this.submitModelRequest(cfg, req, res, false);
 		} else if (service?.[1]) {
-			await this.service(cfg, service[1], req, res);
+			await this.submitServiceRequest(cfg, service[1], req, res);
 		} else {
 			throw new errors.UserError(errors.data.NotFound, [`${req.method} ${path}`]);
 		}
 	}
 
-	private openConfiguration(): ConfigurationView {
+	/** Throws `NotReady` or the reason of the refusal while requests are not accepted. */
+	private requireConfiguration(): ConfigurationView {
 		const refusal = this.opts.getRefusal();
 		const cfg = this.opts.configuration();
 		if (refusal || !cfg) {
@@ -105,38 +106,38 @@
 		sendJson(res, 200, { object: 'list', data });
 	}
 
-	private async model(
+	private async submitModelRequest(
 		cfg: ConfigurationView,
 		req: http.IncomingMessage,
 		res: http.ServerResponse,
-		chat: boolean,
+		isChat: boolean,
 	): Promise<void> {
 		const terms = callerRequest.readRequestOptions(cfg, req.headers);
-		const raw = await body.readBody(req, this.opts.limits.body_bytes);
-		const read = body.parseModelBody(raw, chat);
-		const target: Target = `model:${read.model}`;
+		const raw = await requestBody.readBody(req, this.opts.limits.body_bytes);
+		const parsed = requestBody.parseModelBody(raw, isChat);
+		const target: Target = `model:${parsed.model}`;
 		const template: CallTemplate = {
 			method: 'POST',
-			path: chat ? modelPaths.chat : modelPaths.completion,
+			path: isChat ? modelPaths.chat : modelPaths.completion,
 			headers: { 'content-type': 'application/json' },
-			body: read.engineBody,
+			body: parsed.engineBody,
 			streamed: true,
 		};
 		const request = this.makeRequest(cfg, terms, target, raw.length);
-		const sink = read.stream
+		const sink = parsed.stream
 			? new StreamSink(res, request.id)
-			: new JsonSink(res, request.id, chat, this.opts.limits.answer_bytes);
+			: new JsonSink(res, request.id, isChat, this.opts.limits.answer_bytes);
 		this.submit(request, template, sink, res);
 	}
 
-	private async service(
+	private async submitServiceRequest(
 		cfg: ConfigurationView,
 		name: string,
 		req: http.IncomingMessage,
 		res: http.ServerResponse,
 	): Promise<void> {
 		const terms = callerRequest.readRequestOptions(cfg, req.headers);
-		const raw = await body.readBody(req, this.opts.limits.body_bytes);
+		const raw = await requestBody.readBody(req, this.opts.limits.body_bytes);
 		const path = (req.url ?? '').slice(`/services/${name}`.length) || '/';
 		const contentType = req.headers['content-type'];
 		const template: CallTemplate = {
@@ -190,7 +191,7 @@
 		res.on('close', () => run.handleDisconnect());
 	}
 
-	private refuse(req: http.IncomingMessage, res: http.ServerResponse, err: unknown): void {
+	private sendError(req: http.IncomingMessage, res: http.ServerResponse, err: unknown): void {
 		if (res.headersSent || res.destroyed) {
 			res.destroy();
 			return;
@@ -213,18 +214,18 @@
 	}
 }
 
-/** A head that is too large or cannot be read never becomes a request. */
-function refuseSocket(err: Error & { code?: string }, socket: stream.Duplex, limit: number): void {
+/** Answers a request whose head is too large or malformed, which Node.js never passes to the request handler. */
+function rejectSocket(err: Error & { code?: string }, socket: stream.Duplex, limit: number): void {
 	if (!socket.writable) {
 		return;
 	}
 	const tooLarge = err.code === 'HPE_HEADER_OVERFLOW';
-	const told = tooLarge
+	const error = tooLarge
 		? new errors.UserError(errors.data.HeadTooLarge, [String(limit)])
 		: new errors.UserError(errors.data.BadRequest, ['it is not valid HTTP']);
-	const body = errorBody(told, outcomes.notRun);
+	const body = errorBody(error, outcomes.notRun);
 	const head = [
-		`HTTP/1.1 ${told.data.status} ${told.data.title}`,
+		`HTTP/1.1 ${error.data.status} ${error.data.title}`,
 		'content-type: application/json',
 		`${answerHeaderNames.outcome}: ${outcomes.notRun}`,
 		`content-length: ${Buffer.byteLength(body)}`,
--- a/src/infra/callers/error-body.ts
+++ b/src/infra/callers/error-body.ts
@@ -1,18 +1,18 @@
 /**
- * Errors in the API's own shape.
+ * Error bodies and headers in the format of the OpenAI-compatible API.
  * @module
  */
 import type { UserError } from '../../core/errors/index.js';
 import type { Outcome } from '../../core/requests/types.js';
 
-/** Response headers of the router; listed in docs/CALLERS.md. */
+/** Names of the response headers that the router sets; documented in docs/CALLERS.md. */
 export const answerHeaderNames = {
 	outcome: 'x-slategauge-outcome',
 	requestId: 'x-slategauge-request-id',
 	retryAfter: 'retry-after',
 } as const;
 
-/** Body of an error answer and of an error event. */
+/** Body of an error answer, and data of an error event within a stream. */
 export function errorBody(err: UserError, outcome: Outcome): string {
 	const hint = err.data.hint ? ` ${err.data.hint}` : '';
 	return JSON.stringify({
@@ -26,7 +26,7 @@
 	});
 }
 
-/** Headers that go with an error. */
+/** Headers of an error answer. */
 export function errorHeaders(err: UserError, outcome: Outcome): Record<string, string> {
 	const headers: Record<string, string> = {
 		'content-type': 'application/json',
--- a/src/infra/callers/request-body.ts
+++ b/src/infra/callers/request-body.ts
@@ -1,12 +1,12 @@
 /**
- * Reads a caller's body within its limit and turns it into a call to an endpoint.
+ * Reads and validates the body of a caller's request and derives the body that is sent to the engine.
  * @module
  */
 import type * as http from 'node:http';
 import * as zod from 'zod';
 import * as errors from '../../core/errors/index.js';
 
-/** The parts of an OpenAI-compatible request that the router reads; the rest passes through. */
+/** Fields of an OpenAI-compatible request that the router interprets; all others pass through. */
 const bodySchema = zod.looseObject({
 	model: zod.string('model must be a string').min(1),
 	stream: zod.boolean('stream must be true or false').nullish(),
@@ -15,16 +15,16 @@
 	prompt: zod.unknown().optional(),
 });
 
-/** A request body, read. */
+/** A validated model request body. */
 export interface ModelBody {
 	model: string;
-	/** The caller wants a stream. */
+	/** Whether the caller asked for a stream. */
 	stream: boolean;
-	/** Body for the engine; always asks for a stream, which can be resumed. */
+	/** Body for the engine; always requests a stream, because only streams can be resumed. */
 	engineBody: Uint8Array;
 }
 
-/** The whole body; throws `TooLarge`. */
+/** Reads the whole body; throws `TooLarge` when it exceeds `limit` bytes. */
 export async function readBody(req: http.IncomingMessage, limit: number): Promise<Buffer> {
 	const tooLarge = () => new errors.UserError(errors.data.TooLarge, [String(limit)]);
 	if (Number(req.headers['content-length'] ?? 0) > limit) {
@@ -32,7 +32,7 @@
 	}
 	const chunks: Buffer[] = [];
 	let size = 0;
-	// The request outlives an early return: what is left of its body is still read by the refusal.
+	// Keeps the request open on an early return, so that the refusal can drain the rest of the body.
 	for await (const chunk of req.iterator({ destroyOnReturn: false }) as AsyncIterable<Buffer>) {
 		size += chunk.length;
 		if (size > limit) {
@@ -43,25 +43,25 @@
 	return Buffer.concat(chunks);
 }
 
-/** Reads a chat or completion body; throws `BadRequest`. */
+/** Parses a chat or completion body; throws `BadRequest` when it is invalid. */
 export function parseModelBody(raw: Buffer, chat: boolean): ModelBody {
-	const body = parse(raw);
-	const missing = chat ? body.messages === undefined : body.prompt === undefined;
-	if (missing) {
+	const body = parseAndValidate(raw);
+	const isMissing = chat ? body.messages === undefined : body.prompt === undefined;
+	if (isMissing) {
 		throw new errors.UserError(errors.data.BadRequest, [
 			`${chat ? 'messages' : 'prompt'} is missing`,
 		]);
 	}
 	const stream = body.stream === true;
-	const forEngine = stream
+	const engineBody = stream
 		? raw
 		: Buffer.from(
 				JSON.stringify({ ...body, stream: true, stream_options: { include_usage: true } }),
 			);
-	return { model: body.model, stream, engineBody: forEngine };
+	return { model: body.model, stream, engineBody };
 }
 
-function parse(raw: Buffer): zod.infer<typeof bodySchema> {
+function parseAndValidate(raw: Buffer): zod.infer<typeof bodySchema> {
 	let json: unknown;
 	try {
 		json = JSON.parse(raw.toString('utf8'));
@@ -73,8 +73,8 @@
 	const parsed = bodySchema.safeParse(json);
 	if (!parsed.success) {
 		const issue = parsed.error.issues[0];
-		const why = `${issue?.path.join('.')}: ${issue?.message}`;
-		throw new errors.UserError(errors.data.BadRequest, [why]);
+		const detail = `${issue?.path.join('.')}: ${issue?.message}`;
+		throw new errors.UserError(errors.data.BadRequest, [detail]);
 	}
 	return parsed.data;
 }
--- a/src/infra/callers/sinks.ts
+++ b/src/infra/callers/sinks.ts
@@ -1,6 +1,6 @@
 /**
- * How a caller gets its answer: as a stream of events, as one JSON body, or as the plain bytes of
- * a service.
+ * Sinks that write an answer to the caller: as a stream of server-sent events, as one JSON body, or
+ * as the raw bytes of a plain service.
  * @module
  */
 import type * as http from 'node:http';
@@ -13,8 +13,8 @@
 import { AnswerAssembler } from './answer-assembler.js';
 import { answerHeaderNames, errorBody, errorHeaders } from './error-body.js';
 
-/** Headers of an endpoint's answer that are not the caller's business. */
-const hopHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding', 'te', 'upgrade']);
+/** Hop-by-hop headers, which are not forwarded to the caller. */
+const hopByHopHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding', 'te', 'upgrade']);
 
 abstract class ResponseSink implements CallerSink {
 	constructor(
@@ -33,7 +33,7 @@
 
 	fail(err: errors.UserError, outcome: Outcome): void {
 		if (this.res.headersSent) {
-			this.breakOff(err, outcome);
+			this.abortAnswer(err, outcome);
 			return;
 		}
 		const status = err.data.status ?? 500;
@@ -45,33 +45,38 @@
 		this.res.end(errorBody(err, outcome));
 	}
 
-	/** An answer that has begun is never ended cleanly. */
-	protected breakOff(_err: errors.UserError, _outcome: Outcome): void {
+	/** Closes the connection, so that the caller cannot take a partial answer for a complete one. */
+	protected abortAnswer(_err: errors.UserError, _outcome: Outcome): void {
 		this.res.destroy();
 	}
 
-	protected passHead(status: number, headers: Record<string, string>, trailer: boolean): void {
-		const own: Record<string, string> = { [answerHeaderNames.requestId]: this.requestId };
+	/** Sends the status and end-to-end headers; `hasTrailer` announces the outcome as an HTTP trailer. */
+	protected forwardHead(
+		status: number,
+		headers: Record<string, string>,
+		hasTrailer: boolean,
+	): void {
+		const forwarded: Record<string, string> = { [answerHeaderNames.requestId]: this.requestId };
 		for (const [name, value] of Object.entries(headers)) {
-			if (!hopHeaders.has(name)) {
-				own[name] = value;
+			if (!hopByHopHeaders.has(name)) {
+				forwarded[name] = value;
 			}
 		}
-		if (trailer) {
-			own.trailer = answerHeaderNames.outcome;
+		if (hasTrailer) {
+			forwarded.trailer = answerHeaderNames.outcome;
 		}
-		this.res.writeHead(status, own);
+		this.res.writeHead(status, forwarded);
 	}
 }
 
-/** Passes events on as they come. */
+/** Forwards events to the caller as they arrive. */
 export class StreamSink extends ResponseSink {
-	private isStream = false;
+	private isEventStream = false;
 
 	start(status: number, headers: Record<string, string>): void {
-		this.isStream = headers['content-type']?.startsWith('text/event-stream') ?? false;
-		const length = headers['content-length'];
-		this.passHead(status, headers, length === undefined);
+		this.isEventStream = headers['content-type']?.startsWith('text/event-stream') ?? false;
+		const contentLength = headers['content-length'];
+		this.forwardHead(status, headers, contentLength === undefined);
 	}
 
 	writeEvents(events: readonly StreamEvent[]): boolean {
@@ -91,8 +96,8 @@
 		this.res.end();
 	}
 
-	protected override breakOff(err: errors.UserError, outcome: Outcome): void {
-		if (!this.isStream) {
+	protected override abortAnswer(err: errors.UserError, outcome: Outcome): void {
+		if (!this.isEventStream) {
 			this.res.destroy();
 			return;
 		}
@@ -103,17 +108,17 @@
 	}
 }
 
-/** One event in the event-stream format. */
+/** Formats one event as `text/event-stream`; the offset becomes its id. */
 export function formatEvent(event: StreamEvent): string {
 	const id = event.offset === undefined ? '' : `id: ${event.offset}\n`;
 	return `${id}data: ${event.data.replaceAll('\n', '\ndata: ')}\n\n`;
 }
 
-/** Puts a stream together for a caller that wants one body. */
+/** Assembles the engine's stream into one JSON body for a caller that did not ask for a stream. */
 export class JsonSink extends ResponseSink {
 	private readonly assembler: AnswerAssembler;
-	private passing = false;
-	private overflow = false;
+	private isForwarding = false;
+	private isTooLarge = false;
 
 	constructor(
 		res: http.ServerResponse,
@@ -125,34 +130,38 @@
 		this.assembler = new AnswerAssembler(chat);
 	}
 
-	/** An error of the endpoint passes through as it is. */
+	/** Forwards an error answer of the endpoint unchanged. */
 	start(status: number, headers: Record<string, string>): void {
 		if (status >= 400) {
-			this.passing = true;
-			this.passHead(status, { ...headers, [answerHeaderNames.outcome]: outcomes.complete }, false);
+			this.isForwarding = true;
+			this.forwardHead(
+				status,
+				{ ...headers, [answerHeaderNames.outcome]: outcomes.complete },
+				false,
+			);
 		}
 	}
 
 	writeEvents(events: readonly StreamEvent[]): boolean {
 		for (const event of events) {
-			if (event.data !== doneData && !this.overflow) {
+			if (event.data !== doneData && !this.isTooLarge) {
 				this.assembler.addChunk(event.data);
 			}
 		}
-		this.overflow = this.assembler.textLength > this.maxBytes;
+		this.isTooLarge = this.assembler.textLength > this.maxBytes;
 		return true;
 	}
 
 	writeBytes(chunk: Uint8Array): boolean {
-		return this.passing ? this.res.write(chunk) : true;
+		return this.isForwarding ? this.res.write(chunk) : true;
 	}
 
 	finish(): void {
-		if (this.passing) {
+		if (this.isForwarding) {
 			this.res.end();
 			return;
 		}
-		if (this.overflow) {
+		if (this.isTooLarge) {
 			this.fail(new errors.UserError(errors.data.AnswerIncomplete), outcomes.incomplete);
 			return;
 		}
@@ -165,16 +174,16 @@
 	}
 }
 
-/** Bytes of a service's answer kept back, so that most answers are told with a true outcome. */
-const heldServiceBytes = 256 * 1024;
+/** Bytes of a service's answer that are buffered, so that most answers carry their outcome as a header. */
+const maxBufferedBytes = 256 * 1024;
 
-/** Passes the answer of a plain service through; a small one is held until it is whole. */
+/** Forwards the answer of a plain service; buffers it until it is complete or too large. */
 export class ServiceSink extends ResponseSink {
 	private status = 0;
 	private headers: Record<string, string> = {};
-	private held: Uint8Array[] = [];
-	private heldBytes = 0;
-	private streaming = false;
+	private bufferedChunks: Uint8Array[] = [];
+	private bufferedBytes = 0;
+	private isStreaming = false;
 
 	start(status: number, headers: Record<string, string>): void {
 		this.status = status;
@@ -186,27 +195,27 @@
 	}
 
 	writeBytes(chunk: Uint8Array): boolean {
-		if (this.streaming) {
+		if (this.isStreaming) {
 			return this.res.write(chunk);
 		}
-		this.held.push(chunk);
-		this.heldBytes += chunk.length;
-		if (this.heldBytes > heldServiceBytes) {
-			this.streaming = true;
-			this.passHead(this.status, this.headers, this.headers['content-length'] === undefined);
-			return this.res.write(Buffer.concat(this.held));
+		this.bufferedChunks.push(chunk);
+		this.bufferedBytes += chunk.length;
+		if (this.bufferedBytes > maxBufferedBytes) {
+			this.isStreaming = true;
+			this.forwardHead(this.status, this.headers, this.headers['content-length'] === undefined);
+			return this.res.write(Buffer.concat(this.bufferedChunks));
 		}
 		return true;
 	}
 
 	finish(): void {
-		if (this.streaming) {
+		if (this.isStreaming) {
 			this.res.addTrailers({ [answerHeaderNames.outcome]: outcomes.complete });
 			this.res.end();
 			return;
 		}
 		const headers = { ...this.headers, [answerHeaderNames.outcome]: outcomes.complete };
-		this.passHead(this.status, headers, false);
-		this.res.end(Buffer.concat(this.held));
+		this.forwardHead(this.status, headers, false);
+		this.res.end(Buffer.concat(this.bufferedChunks));
 	}
 }
--- a/src/infra/control/control-client.ts
+++ b/src/infra/control/control-client.ts
@@ -1,5 +1,5 @@
 /**
- * Client of a daemon's control port.
+ * tRPC client for a daemon's control port.
  * @module
  */
 import * as trpc from '@trpc/client';
@@ -7,7 +7,7 @@
 
 export type ControlClient = ReturnType<typeof trpc.createTRPCClient<ControlRouter>>;
 
-/** `address` is `IP:port`. */
+/** Creates a client for the daemon at `address` (`IP:port`); calls time out after `timeoutMs`. */
 export function createControlClient(
 	address: string,
 	token: string,
--- a/src/infra/control/control-router.ts
+++ b/src/infra/control/control-router.ts
@@ -1,5 +1,5 @@
 /**
- * Procedures of the control port, by trpc.
+ * tRPC procedures of the control port; every procedure requires an operator token.
  * @module
  */
 import * as trpc from '@trpc/server';
@@ -9,7 +9,7 @@
 import * as errors from '../../core/errors/index.js';
 import type { DaemonApi } from './types.js';
 
-/** What each call brings along. */
+/** Context of each call: the daemon's API and the bearer token of the request. */
 export interface ControlContext {
 	api: DaemonApi;
 	token: string;
@@ -17,32 +17,34 @@
 
 const t = trpc.initTRPC.context<ControlContext>().create();
 
-const guarded = t.procedure.use(({ ctx, next }) => {
+const operatorProcedure = t.procedure.use(({ ctx, next }) => {
 	if (!ctx.api.isOperator(ctx.token)) {
 		throw new trpc.TRPCError({ code: 'UNAUTHORIZED', message: 'the operator token is unknown' });
 	}
 	return next();
 });
 
-const changeSchema = zod.object({
+const configurationChangeSchema = zod.object({
 	document: configurationSchema,
 	base: zod.int().min(0),
 	by: zod.string().min(1).max(100),
 });
 
 export const controlRouter = t.router({
-	status: guarded.query(({ ctx }) => ctx.api.status()),
-	requests: guarded.query(({ ctx }) => ctx.api.requests()),
-	endpoints: guarded.query(({ ctx }) => ctx.api.endpoints()),
-	events: guarded
+	status: operatorProcedure.query(({ ctx }) => ctx.api.status()),
+	requests: operatorProcedure.query(({ ctx }) => ctx.api.requests()),
+	endpoints: operatorProcedure.query(({ ctx }) => ctx.api.endpoints()),
+	events: operatorProcedure
 		.input(zod.object({ since: zod.int().min(0) }))
 		.query(({ ctx, input }) => ctx.api.events(input.since)),
-	configuration: guarded.query(({ ctx }) => ctx.api.configuration() ?? null),
-	answer: guarded.input(zod.object({ request: zod.string() })).query(async ({ ctx, input }) => {
-		const answer = await ctx.api.answer(input.request);
-		return answer ? { ...answer, body: Buffer.from(answer.body).toString('base64') } : null;
-	}),
-	order: guarded
+	configuration: operatorProcedure.query(({ ctx }) => ctx.api.configuration() ?? null),
+	answer: operatorProcedure
+		.input(zod.object({ request: zod.string() }))
+		.query(async ({ ctx, input }) => {
+			const answer = await ctx.api.answer(input.request);
+			return answer ? { ...answer, body: Buffer.from(answer.body).toString('base64') } : null;
+		}),
+	order: operatorProcedure
 		.input(
 			zod.object({
 				endpoint: zod.string(),
@@ -51,26 +53,29 @@
 			}),
 		)
 		.mutation(({ ctx, input }) =>
-			asTrpcError(() => ctx.api.order(input.endpoint, input.kind, input.argument)),
+			translateErrors(() => ctx.api.order(input.endpoint, input.kind, input.argument)),
 		),
-	cutPeers: guarded
+	cutPeers: operatorProcedure
 		.input(zod.object({ peers: zod.array(zod.string()) }))
-		.mutation(({ ctx, input }) => asTrpcError(async () => ctx.api.cutPeers(input.peers))),
-	applyConfiguration: guarded.input(changeSchema).mutation(async ({ ctx, input }) => {
-		const problems = crossCheck(input.document);
-		if (problems.length > 0) {
-			const message = problems.map((problem) => problem.message).join('; ');
-			throw new trpc.TRPCError({ code: 'BAD_REQUEST', message });
-		}
-		return asTrpcError(() => ctx.api.applyConfiguration(input));
-	}),
+		.mutation(({ ctx, input }) => translateErrors(async () => ctx.api.cutPeers(input.peers))),
+	applyConfiguration: operatorProcedure
+		.input(configurationChangeSchema)
+		.mutation(async ({ ctx, input }) => {
+			const problems = crossCheck(input.document);
+			if (problems.length > 0) {
+				const message = problems.map((problem) => problem.message).join('; ');
+				throw new trpc.TRPCError({ code: 'BAD_REQUEST', message });
+			}
+			return translateErrors(() => ctx.api.applyConfiguration(input));
+		}),
 });
 
 export type ControlRouter = typeof controlRouter;
 
-async function asTrpcError<T>(call: () => Promise<T>): Promise<T> {
+/** Turns a `UserError` into a `TRPCError` with a matching code. */
+async function translateErrors<T>(operation: () => Promise<T>): Promise<T> {
 	try {
-		return await call();
+		return await operation();
 	} catch (err) {
 		if (!(err instanceof errors.UserError)) {
 			throw err;
--- a/src/infra/control/types.ts
+++ b/src/infra/control/types.ts
@@ -1,5 +1,5 @@
 /**
- * What a daemon tells operators and peers over its control port.
+ * API that a daemon offers operators and peers on its control port.
  * @module
  */
 import type { VersionedConfiguration } from '../../core/configuration/index.js';
@@ -8,7 +8,7 @@
 import type { StoredAnswer } from '../../core/requests/answer-store.js';
 import type { TimelineEvent } from '../../core/timeline/index.js';
 
-/** One request that a daemon holds. */
+/** A queued or running request of a daemon. */
 export interface RequestRow {
 	id: string;
 	vm: string;
@@ -17,24 +17,25 @@
 	tier: number;
 	customer: string;
 	endpoint: string;
-	/** The first-token target has passed without a token. */
+	/** Whether the first-token target has passed without a token. */
 	late: boolean;
-	/** Milliseconds since it came. */
+	/** Time since the request arrived, in milliseconds. */
 	age_ms: number;
+	/** Tokens of the answer so far. */
 	tokens: number;
 }
 
-/** One endpoint as a daemon sees it. */
+/** An endpoint in the local view of a daemon. */
 export interface EndpointRow {
 	endpoint: string;
 	vm: string;
-	/** Daemon that grants its slots, as this daemon believes. */
+	/** Daemon that grants the endpoint's slots, according to this daemon. */
 	owner: string;
 	state: string;
 	limit: number;
-	/** Requests of this daemon that run there. */
+	/** Requests of this daemon that are running on the endpoint. */
 	running: number;
-	/** Standing slots that this daemon holds unused. */
+	/** Granted slots that this daemon keeps without a running request. */
 	idle: number;
 }
 
@@ -49,11 +50,11 @@
 	running: number;
 	members: { vm: string; state: string; control: string }[];
 	kv_calls: number;
-	/** Processor time since the start, in milliseconds. */
+	/** CPU time since the process started, in milliseconds. */
 	cpu_ms: number;
 	/** Resident memory, in bytes. */
 	rss_bytes: number;
-	/** Bytes on the wire between daemons since the start, IP and UDP heads included. */
+	/** Bytes exchanged with peers since the process started, including IP and UDP headers. */
 	peer_bytes_sent: number;
 	peer_bytes_received: number;
 	peer_datagrams_sent: number;
@@ -61,7 +62,7 @@
 	uptime_ms: number;
 }
 
-/** What the control port calls. */
+/** Operations of a daemon that the control port exposes. */
 export interface DaemonApi {
 	status(): StatusReport;
 	requests(): RequestRow[];
@@ -69,12 +70,12 @@
 	events(since: number): TimelineEvent[];
 	configuration(): VersionedConfiguration | undefined;
 	applyConfiguration(change: ChangeRequest): Promise<VersionedConfiguration>;
-	/** Answer of a request that must run once, when it has ended. */
+	/** Stored answer of a request that must run only once; undefined until it has ended. */
 	answer(request: string): Promise<StoredAnswer | undefined>;
-	/** Gives an order to an endpoint; resolves with its fencing token. */
+	/** Sends an order to an endpoint; resolves with its fencing token. */
 	order(endpoint: string, kind: EndpointOrder['kind'], argument: string): Promise<number>;
-	/** Drill: peers that this daemon neither sends to nor hears. */
+	/** Fault injection: drops all messages to and from `peers`, and replaces the previous list. */
 	cutPeers(peers: readonly string[]): void;
-	/** Checks an operator's token, or the peers' own. */
+	/** Whether the token belongs to an operator or to the peers. */
 	isOperator(token: string): boolean;
 }
--- a/src/infra/http-kv-store.ts
+++ b/src/infra/http-kv-store.ts
@@ -1,5 +1,5 @@
 /**
- * Adapter of the key-value service; its wire format is in docs/PROTOCOLS.md.
+ * HTTP client for the key-value service; the wire format is described in docs/PROTOCOLS.md.
  * @module
  */
 import * as undici from 'undici';
@@ -11,26 +11,26 @@
 	timeoutMs: number;
 }
 
-interface Reply {
+interface KvResponse {
 	status: number;
 	body: Record<string, unknown>;
 }
 
 export class HttpKvStore implements KvStore {
 	private readonly pool: undici.Pool;
-	private made = 0;
+	private sentCalls = 0;
 
 	constructor(private readonly opts: HttpKvStoreOptions) {
 		this.pool = new undici.Pool(new URL(opts.url).origin, { connections: 16 });
 	}
 
 	get callCount(): number {
-		return this.made;
+		return this.sentCalls;
 	}
 
 	async get(key: string): Promise<KvEntry | undefined> {
-		const reply = await this.call('GET', `/kv/${encodeURIComponent(key)}`);
-		return entryOf(reply);
+		const response = await this.call('GET', `/kv/${encodeURIComponent(key)}`);
+		return toEntry(response);
 	}
 
 	async compareAndSwap(
@@ -41,34 +41,34 @@
 	): Promise<KvSwapResult> {
 		const lease = leaseId === undefined ? '' : `&lease=${leaseId}`;
 		const path = `/kv/${encodeURIComponent(key)}?rev=${rev}${lease}`;
-		const reply = await this.call('PUT', path, value);
-		if (reply.status === 200) {
-			return { swapped: true, rev: Number(reply.body.rev) };
+		const response = await this.call('PUT', path, value);
+		if (response.status === 200) {
+			return { swapped: true, rev: Number(response.body.rev) };
 		}
-		if (reply.status === 409) {
-			const current = reply.body.rev ? (reply.body as unknown as KvEntry) : undefined;
+		if (response.status === 409) {
+			const current = response.body.rev ? (response.body as unknown as KvEntry) : undefined;
 			return { swapped: false, current };
 		}
-		throw new KvError(`key-value service answered ${reply.status}`);
+		throw new KvError(`key-value service responded with status ${response.status}`);
 	}
 
 	async watch(key: string, rev: number, waitMs: number): Promise<KvEntry | undefined> {
 		const path = `/kv/${encodeURIComponent(key)}?after=${rev}&wait_ms=${waitMs}`;
-		const reply = await this.call('GET', path, undefined, waitMs);
-		return entryOf(reply);
+		const response = await this.call('GET', path, undefined, waitMs);
+		return toEntry(response);
 	}
 
 	async grantLease(ttlMs: number): Promise<string> {
-		const reply = await this.call('POST', `/leases?ttl_ms=${ttlMs}`);
-		if (reply.status !== 200) {
-			throw new KvError(`key-value service answered ${reply.status}`);
+		const response = await this.call('POST', `/leases?ttl_ms=${ttlMs}`);
+		if (response.status !== 200) {
+			throw new KvError(`key-value service responded with status ${response.status}`);
 		}
-		return String(reply.body.id);
+		return String(response.body.id);
 	}
 
 	async renewLease(id: string): Promise<boolean> {
-		const reply = await this.call('POST', `/leases/${id}/renew`);
-		return reply.status === 200;
+		const response = await this.call('POST', `/leases/${id}/renew`);
+		return response.status === 200;
 	}
 
 	async revokeLease(id: string): Promise<void> {
@@ -84,8 +84,8 @@
 		path: string,
 		body?: string,
 		extraMs = 0,
-	): Promise<Reply> {
-		this.made++;
+	): Promise<KvResponse> {
+		this.sentCalls++;
 		const timeoutMs = this.opts.timeoutMs + extraMs;
 		try {
 			const res = await this.pool.request({
@@ -96,7 +96,7 @@
 			});
 			const json = (await res.body.json()) as Record<string, unknown>;
 			if (res.statusCode >= 500 || res.statusCode === 429) {
-				throw new KvError(`key-value service answered ${res.statusCode}`);
+				throw new KvError(`key-value service responded with status ${res.statusCode}`);
 			}
 			return { status: res.statusCode, body: json };
 		} catch (err) {
@@ -105,9 +105,10 @@
 	}
 }
 
-function entryOf(reply: Reply): KvEntry | undefined {
-	if (reply.status === 404) {
+/** The entry of a response; undefined when the key does not exist. */
+function toEntry(response: KvResponse): KvEntry | undefined {
+	if (response.status === 404) {
 		return undefined;
 	}
-	return { value: String(reply.body.value), rev: Number(reply.body.rev) };
+	return { value: String(response.body.value), rev: Number(response.body.rev) };
 }
--- a/src/infra/http-vm-list.ts
+++ b/src/infra/http-vm-list.ts
@@ -1,5 +1,5 @@
 /**
- * Adapter of the platform's VM list; its wire format is in docs/PROTOCOLS.md.
+ * HTTP client for the platform's VM list; the wire format is described in docs/PROTOCOLS.md.
  * @module
  */
 import * as undici from 'undici';
@@ -18,11 +18,11 @@
 			signal: AbortSignal.timeout(this.opts.timeoutMs),
 		});
 		const rows = (await res.body.json()) as Record<string, unknown>[];
-		return rows.map(entryOf);
+		return rows.map(toVmEntry);
 	}
 }
 
-function entryOf(row: Record<string, unknown>): VmEntry {
+function toVmEntry(row: Record<string, unknown>): VmEntry {
 	return {
 		id: String(row.id),
 		address: String(row.address),
--- a/src/infra/http-weight-store.ts
+++ b/src/infra/http-weight-store.ts
@@ -1,5 +1,5 @@
 /**
- * Adapter of the platform's weight store; its wire format is in docs/PROTOCOLS.md.
+ * HTTP client for the platform's weight store; the wire format is described in docs/PROTOCOLS.md.
  * @module
  */
 import * as undici from 'undici';
@@ -14,11 +14,12 @@
 export class HttpWeightStore implements WeightStore {
 	constructor(private readonly opts: HttpWeightStoreOptions) {}
 
+	/** Reports any error or unexpected status as `busy`. */
 	async lookup(name: string): Promise<WeightLookupResult> {
-		const path = `${this.opts.url}/weights/${encodeURIComponent(name)}`;
+		const url = `${this.opts.url}/weights/${encodeURIComponent(name)}`;
 		try {
 			const signal = AbortSignal.timeout(this.opts.timeoutMs);
-			const res = await undici.request(path, { method: 'GET', signal });
+			const res = await undici.request(url, { method: 'GET', signal });
 			await res.body.dump();
 			if (res.statusCode === 404) {
 				return weightLookupResults.absent;
--- a/src/infra/lingering-close.ts
+++ b/src/infra/lingering-close.ts
@@ -1,15 +1,14 @@
 /**
- * Answers a request before its body was read to the end. Closing at once would reset the connection,
- * since bytes of the body are still on their way, and the reset may reach the caller before the answer.
- * So the rest of the body is read and dropped for a while (a lingering close).
+ * Answers a request before its body is read. Closing a connection with unread data resets it, and the
+ * reset may discard the answer, so the rest of the body is drained first (a lingering close).
  * @module
  */
 import type * as http from 'node:http';
 
-/** The rest of a body is read for so long at the most, in milliseconds; a caller writes 4 MB in far less. */
-const lingerMs = 1500;
+/** Longest time that the rest of a body is drained. */
+const maxLingerMs = 1500;
 
-/** Sends a whole answer and closes the connection once the caller has stopped writing. */
+/** Sends the complete answer, then closes the connection once the caller stops writing or `maxLingerMs` have passed. */
 export function sendWithLingeringClose(
 	req: http.IncomingMessage,
 	res: http.ServerResponse,
@@ -23,14 +22,14 @@
 		res.end(bytes);
 		return;
 	}
-	// The length tells the caller that the answer is whole though the connection stays open.
+	// The content length marks the answer as complete while the connection stays open.
 	res.write(bytes);
-	const timer = setTimeout(() => res.end(), lingerMs);
-	const finish = () => {
+	const timer = setTimeout(() => res.end(), maxLingerMs);
+	const endResponse = () => {
 		clearTimeout(timer);
 		res.end();
 	};
-	req.once('end', finish);
-	req.once('close', finish);
+	req.once('end', endResponse);
+	req.once('close', endResponse);
 	req.resume();
 }
--- a/src/infra/logfmt-log.ts
+++ b/src/infra/logfmt-log.ts
@@ -1,46 +1,46 @@
 /**
- * Log by tslog: one line of key=value pairs for each event, on standard output.
+ * Logs events in logfmt (one line of key=value pairs per event) through tslog, to standard output by default.
  * @module
  */
 import * as tslog from 'tslog';
 import type { Fields, Log } from '../core/definitions.js';
 
-const levels = { debug: 2, info: 3, warn: 4, error: 5 } as const;
-export type LogLevel = keyof typeof levels;
+const tslogLevelIds = { debug: 2, info: 3, warn: 4, error: 5 } as const;
+export type LogLevel = keyof typeof tslogLevelIds;
 
 export interface LogfmtLogOptions {
 	level: LogLevel;
-	/** Fields that stand on every line. */
+	/** Fields that are added to every line. */
 	baseFields: Fields;
-	/** @default writes to standard output */
+	/** @default standard output */
 	write?: (line: string) => void;
 }
 
-/** One event on its way through the logger. */
-interface Entry {
+/** Log object that tslog hands to the transport. */
+interface LogEntry {
 	args: readonly [event: string, fields: Fields];
 	level: string;
 }
 
 export class LogfmtLog implements Log {
 	private readonly logger: tslog.Logger<unknown>;
-	private readonly base: string;
+	private readonly baseText: string;
 
 	constructor(opts: LogfmtLogOptions) {
 		const write = opts.write ?? ((line: string) => process.stdout.write(line));
-		this.base = formatFields(opts.baseFields);
+		this.baseText = formatFields(opts.baseFields);
 		this.logger = new tslog.Logger({
 			type: 'hidden',
-			minLevel: levels[opts.level],
+			minLevel: tslogLevelIds[opts.level],
 			hideLogPositionForProduction: true,
-			// Fields are flat, and all of them are meant to be read: copies and masks of them would take half of a line's time.
+			// Fields are flat and hold no secrets, so the costly copying and masking of tslog is skipped.
 			overwrite: {
 				mask: (args) => args,
 				toLogObj: (args): unknown => args,
 				addMeta: (args, _, level) => ({ args, level }) as never,
 			},
 		});
-		this.logger.attachTransport((entry) => write(this.lineOf(entry as unknown as Entry)));
+		this.logger.attachTransport((entry) => write(this.formatLine(entry as unknown as LogEntry)));
 	}
 
 	debug(event: string, fields: Fields = {}): void {
@@ -59,16 +59,16 @@
 		this.logger.error(event, fields);
 	}
 
-	private lineOf({ args: [event, fields], level }: Entry): string {
+	private formatLine({ args: [event, fields], level }: LogEntry): string {
 		const time = new Date().toISOString();
-		const base = this.base === '' ? '' : ` ${this.base}`;
-		const own = formatFields(fields);
-		const tail = own === '' ? '' : ` ${own}`;
-		return `time=${time} level=${level.toLowerCase()} event=${formatValue(event)}${base}${tail}\n`;
+		const base = this.baseText === '' ? '' : ` ${this.baseText}`;
+		const ownText = formatFields(fields);
+		const own = ownText === '' ? '' : ` ${ownText}`;
+		return `time=${time} level=${level.toLowerCase()} event=${formatValue(event)}${base}${own}\n`;
 	}
 }
 
-/** `key=value` pairs; values with spaces or quotes are quoted as JSON. */
+/** Formats fields as `key=value` pairs; values with spaces, quotes or equals signs are quoted as JSON. */
 export function formatFields(fields: Fields): string {
 	let text = '';
 	for (const key in fields) {
--- a/src/infra/peers/codec.ts
+++ b/src/infra/peers/codec.ts
@@ -1,5 +1,5 @@
 /**
- * Datagrams between daemons: MessagePack arrays, signed. The layout is in docs/PROTOCOLS.md.
+ * Encodes datagrams between daemons as signed MessagePack arrays; the layout is described in docs/PROTOCOLS.md.
  * @module
  */
 import * as crypto from 'node:crypto';
@@ -14,19 +14,20 @@
 	SlotRequest,
 } from '../../core/scheduling/types.js';
 
-/** Bytes of a signature. */
+/** Length of the truncated HMAC-SHA-256 signature that precedes the body. */
 const signatureBytes = 16;
-/** Types of message, as they stand on the wire. */
-const wireTypes = { ping: 0, ack: 1, pingReq: 2, report: 3, reply: 4 } as const;
-const stateCodes = ['alive', 'suspect', 'dead'] as const;
-/** Times between tokens go as hundredths of a millisecond. */
-const gapScale = 100;
-/** Slots that may be kept without bound, as it stands on the wire. */
-const keepAll = -1;
+/** Message type codes on the wire. */
+const messageTypeCodes = { ping: 0, ack: 1, pingReq: 2, report: 3, reply: 4 } as const;
+/** Member states; the index is the code on the wire. */
+const memberStates = ['alive', 'suspect', 'dead'] as const;
+/** Times between tokens are encoded in hundredths of a millisecond. */
+const gapUnitsPerMs = 100;
+/** Wire value for an unbounded `keepIdle`. */
+const unboundedKeepIdle = -1;
 
-type Wire = unknown[];
+type WireArray = unknown[];
 
-/** One signed datagram. */
+/** Encodes and signs a batch as one datagram. */
 export function encodeBatch(batch: PeerBatch, secret: crypto.KeyObject): Uint8Array {
 	const messages = batch.messages.map(encodeMessage);
 	const body = msgpack.encode([batch.from, batch.time.wall, batch.time.counter, messages]);
@@ -34,7 +35,7 @@
 	return Buffer.concat([signature, body]);
 }
 
-/** The batch, or undefined when the signature or the layout is wrong. */
+/** Verifies and decodes a datagram; undefined when the signature or the layout is invalid. */
 export function decodeBatch(datagram: Uint8Array, secret: crypto.KeyObject): PeerBatch | undefined {
 	if (datagram.length <= signatureBytes) {
 		return undefined;
@@ -49,7 +50,7 @@
 			string,
 			number,
 			number,
-			Wire[],
+			WireArray[],
 		];
 		return { from, time: { wall, counter }, messages: messages.map(decodeMessage) };
 	} catch {
@@ -57,7 +58,7 @@
 	}
 }
 
-/** Bytes that a message takes in a batch. */
+/** Encoded size of a message within a batch, in bytes. */
 export function encodedMessageBytes(message: PeerMessage): number {
 	return msgpack.encode(encodeMessage(message)).length;
 }
@@ -66,53 +67,59 @@
 	return crypto.createHmac('sha256', secret).update(body).digest().subarray(0, signatureBytes);
 }
 
-function encodeMessage(message: PeerMessage): Wire {
+function encodeMessage(message: PeerMessage): WireArray {
 	if (message.type === 'membership') {
 		return encodeMembership(message.body);
 	}
 	return message.type === 'report' ? encodeReport(message.body) : encodeReply(message.body);
 }
 
-function decodeMessage(wire: Wire): PeerMessage {
+function decodeMessage(wire: WireArray): PeerMessage {
 	const [type] = wire;
-	if (type === wireTypes.report) {
+	if (type === messageTypeCodes.report) {
 		return { type: 'report', body: decodeReport(wire) };
 	}
-	if (type === wireTypes.reply) {
+	if (type === messageTypeCodes.reply) {
 		return { type: 'reply', body: decodeReply(wire) };
 	}
 	return { type: 'membership', body: decodeMembership(wire) };
 }
 
-function encodeMembership(message: MembershipMessage): Wire {
+function encodeMembership(message: MembershipMessage): WireArray {
 	const updates = message.updates.map(encodeMember);
 	const from = encodeMember(message.from);
 	if (message.kind === 'ping-req') {
-		return [wireTypes.pingReq, message.seq, from, updates, message.target];
+		return [messageTypeCodes.pingReq, message.seq, from, updates, message.target];
 	}
-	const type = message.kind === 'ping' ? wireTypes.ping : wireTypes.ack;
+	const type = message.kind === 'ping' ? messageTypeCodes.ping : messageTypeCodes.ack;
 	return [type, message.seq, from, updates];
 }
 
-function decodeMembership(wire: Wire): MembershipMessage {
-	const [type, seq, fromWire, updatesWire, target] = wire as [number, number, Wire, Wire[], string];
+function decodeMembership(wire: WireArray): MembershipMessage {
+	const [type, seq, fromWire, updatesWire, target] = wire as [
+		number,
+		number,
+		WireArray,
+		WireArray[],
+		string,
+	];
 	const from = decodeMember(fromWire);
 	const updates = updatesWire.map(decodeMember);
-	if (type === wireTypes.pingReq) {
+	if (type === messageTypeCodes.pingReq) {
 		return { kind: 'ping-req', seq, from, updates, target };
 	}
-	if (type !== wireTypes.ping && type !== wireTypes.ack) {
+	if (type !== messageTypeCodes.ping && type !== messageTypeCodes.ack) {
 		throw new Error(`unknown message type ${type}`);
 	}
-	return { kind: type === wireTypes.ping ? 'ping' : 'ack', seq, from, updates };
+	return { kind: type === messageTypeCodes.ping ? 'ping' : 'ack', seq, from, updates };
 }
 
-function encodeMember(member: Member): Wire {
+function encodeMember(member: Member): WireArray {
 	const { id, address, port, domain, state, incarnation, version } = member;
-	return [id, address, port, domain, stateCodes.indexOf(state), incarnation, version];
+	return [id, address, port, domain, memberStates.indexOf(state), incarnation, version];
 }
 
-function decodeMember(wire: Wire): Member {
+function decodeMember(wire: WireArray): Member {
 	const [id, address, port, domain, code, incarnation, version] = wire as [
 		string,
 		string,
@@ -122,14 +129,14 @@
 		number,
 		number,
 	];
-	const state = stateCodes[code];
+	const state = memberStates[code];
 	if (state === undefined) {
 		throw new Error(`unknown member state ${code}`);
 	}
 	return { id, address, port, domain, state, incarnation, version };
 }
 
-function encodeReport(report: HolderReport): Wire {
+function encodeReport(report: HolderReport): WireArray {
 	const {
 		completions,
 		failures,
@@ -137,7 +144,7 @@
 		interTokenTargetMs: targetMs,
 	} = report.observations;
 	return [
-		wireTypes.report,
+		messageTypeCodes.report,
 		report.endpoint,
 		report.seq,
 		report.epoch,
@@ -146,21 +153,21 @@
 		report.idleSlots,
 		report.slotRequests.map(encodeTicket),
 		report.waitingByTier,
-		[completions, failures, Math.round(gapMs * gapScale), targetMs],
+		[completions, failures, Math.round(gapMs * gapUnitsPerMs), targetMs],
 		report.knownLimit,
 	];
 }
 
-function decodeReport(wire: Wire): HolderReport {
+function decodeReport(wire: WireArray): HolderReport {
 	const [, endpoint, seq, epoch, granted, running, idle, want, backlog, observed, limit] = wire as [
 		number,
 		string,
 		number,
 		number,
 		number,
-		Wire[],
+		WireArray[],
 		number,
-		Wire[],
+		WireArray[],
 		[number, number][],
 		[number, number, number, number],
 		number,
@@ -178,19 +185,19 @@
 		observations: {
 			completions,
 			failures,
-			interTokenMs: gap / gapScale,
+			interTokenMs: gap / gapUnitsPerMs,
 			interTokenTargetMs: targetMs,
 		},
 		knownLimit: limit,
 	};
 }
 
-function encodeRunning(slot: RunningSlot): Wire {
+function encodeRunning(slot: RunningSlot): WireArray {
 	const flags = (slot.isFloor ? 1 : 0) | (slot.isPreemptable ? 2 : 0);
 	return [slot.ticket, slot.tier, slot.classHash, slot.customerHash, flags];
 }
 
-function decodeRunning(wire: Wire): RunningSlot {
+function decodeRunning(wire: WireArray): RunningSlot {
 	const [ticket, tier, cls, customer, flags] = wire as [number, number, number, number, number];
 	return {
 		ticket,
@@ -202,13 +209,13 @@
 	};
 }
 
-function encodeTicket(ticket: SlotRequest): Wire {
+function encodeTicket(ticket: SlotRequest): WireArray {
 	const flags = (ticket.isLate ? 1 : 0) | (ticket.requestsPreemption ? 2 : 0);
 	const { tier, classHash: cls, customerHash: customer, slackMs: slack, waitedMs: waited } = ticket;
 	return [ticket.ticket, tier, cls, customer, slack, waited, flags];
 }
 
-function decodeTicket(wire: Wire): SlotRequest {
+function decodeTicket(wire: WireArray): SlotRequest {
 	const [ticket, tier, cls, customer, slack, waited, flags] = wire as [
 		number,
 		number,
@@ -232,15 +239,15 @@
 	};
 }
 
-function encodeReply(reply: OwnerReply): Wire {
+function encodeReply(reply: OwnerReply): WireArray {
 	const flags = (reply.isContended ? 1 : 0) | (reply.isUnavailable ? 2 : 0);
 	return [
-		wireTypes.reply,
+		messageTypeCodes.reply,
 		reply.endpoint,
 		reply.epoch,
 		reply.reportSeq,
 		reply.grants.map(encodeGrant),
-		reply.maxIdleSlots === Number.MAX_SAFE_INTEGER ? keepAll : reply.maxIdleSlots,
+		reply.maxIdleSlots === Number.MAX_SAFE_INTEGER ? unboundedKeepIdle : reply.maxIdleSlots,
 		reply.preemptTickets,
 		reply.limit,
 		reply.usedSlots,
@@ -251,14 +258,14 @@
 	];
 }
 
-function decodeReply(wire: Wire): OwnerReply {
+function decodeReply(wire: WireArray): OwnerReply {
 	const [, endpoint, epoch, seq, grants, keep, preempt, limit, used, rate, ahead, lowest, flags] =
 		wire as [
 			number,
 			string,
 			number,
 			number,
-			Wire[],
+			WireArray[],
 			number,
 			number[],
 			number,
@@ -273,7 +280,7 @@
 		epoch,
 		reportSeq: seq,
 		grants: grants.map(decodeGrant),
-		maxIdleSlots: keep === keepAll ? Number.MAX_SAFE_INTEGER : keep,
+		maxIdleSlots: keep === unboundedKeepIdle ? Number.MAX_SAFE_INTEGER : keep,
 		preemptTickets: preempt,
 		limit,
 		usedSlots: used,
@@ -285,13 +292,13 @@
 	};
 }
 
-function encodeGrant(grant: Grant): Wire {
+function encodeGrant(grant: Grant): WireArray {
 	return grant.floorClass === undefined
 		? [grant.id, grant.tier]
 		: [grant.id, grant.tier, grant.floorClass];
 }
 
-function decodeGrant(wire: Wire): Grant {
+function decodeGrant(wire: WireArray): Grant {
 	const [id, tier, floor] = wire as [number, number, number | undefined];
 	return { id, tier, floorClass: floor };
 }
--- a/src/infra/peers/udp-transport.ts
+++ b/src/infra/peers/udp-transport.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between daemons over UDP. Those to one peer are collected for a moment into one
- * datagram; nothing is sent again here, since every message carries whole state.
+ * Sends messages between daemons over UDP. Messages to one peer are batched into shared datagrams;
+ * lost ones are not retransmitted, because every message carries complete state.
  * @module
  */
 import * as crypto from 'node:crypto';
@@ -15,23 +15,27 @@
 import type { HybridClock } from '../../core/timeline/index.js';
 import * as codec from './codec.js';
 
-/** Heads of IPv4 and UDP on each datagram, in bytes. */
-const headBytes = 28;
-/** Payload that fits a usual path without fragments, in bytes. */
-const maxPayload = 1400;
-const batchOverhead = 60;
-/** So many messages are sent together without a look at their size. */
-const surelyFits = 3;
-/** Bytes that the system may hold for a process that is busy. */
-const receiveBuffer = 1024 * 1024;
+/** IPv4 and UDP headers of a datagram. */
+const ipUdpHeaderBytes = 28;
+/** Payload that fits a typical path MTU without fragmentation. */
+const maxPayloadBytes = 1400;
+/** Size that is reserved for the signature and envelope of a batch. */
+const batchOverheadBytes = 60;
+/** Up to this many messages share a datagram without a check of their size. */
+const maxUncheckedMessages = 3;
+/** Socket receive buffer; absorbs bursts while the process is busy. */
+const receiveBufferBytes = 1024 * 1024;
 
 export interface UdpTransportOptions {
+	/** VM of this daemon; the sender of its batches. */
 	selfId: string;
+	/** Shared secret that signs datagrams. */
 	token: string;
+	/** Minimum time between two flushes. */
 	flushIntervalMs: number;
 	clock: HybridClock;
 	onBatch: (batch: PeerBatch) => void;
-	/** Peers that are not to be reached; for tests of cuts. */
+	/** Whether to drop all messages to and from a peer; for fault injection. */
 	isPeerBlocked?: (peer: string) => boolean;
 }
 
@@ -48,12 +52,15 @@
 		datagramsReceived: 0,
 		datagramsRejected: 0,
 	};
-	private readonly socket = dgram.createSocket({ type: 'udp4', recvBufferSize: receiveBuffer });
+	private readonly socket = dgram.createSocket({
+		type: 'udp4',
+		recvBufferSize: receiveBufferBytes,
+	});
 	private readonly secret: crypto.KeyObject;
 	private readonly outboxes = new Map<string, Outbox>();
 	private timer?: NodeJS.Timeout;
-	private closed = false;
-	private flushedAt = 0;
+	private isClosed = false;
+	private lastFlushMs = 0;
 
 	constructor(private readonly opts: UdpTransportOptions) {
 		this.secret = crypto.createSecretKey(Buffer.from(opts.token));
@@ -61,7 +68,7 @@
 		this.socket.on('error', () => {});
 	}
 
-	/** Resolves with the port. */
+	/** Binds the socket and resolves with its port. */
 	async bind(address: string, port: number): Promise<number> {
 		await new Promise<void>((done, failed) => {
 			this.socket.once('error', failed);
@@ -81,17 +88,17 @@
 		}
 		outbox.to = to;
 		outbox.messages.push(message);
-		this.timer ??= setTimeout(() => this.flush(), this.untilFlush());
+		this.timer ??= setTimeout(() => this.flush(), this.msUntilFlush());
 	}
 
-	/** Sends what is collected. */
+	/** Sends all queued messages now. */
 	flush(): void {
-		this.flushedAt = performance.now();
+		this.lastFlushMs = performance.now();
 		clearTimeout(this.timer);
 		this.timer = undefined;
 		for (const { to, messages } of this.outboxes.values()) {
-			for (const part of split(messages)) {
-				this.sendPart(to, part);
+			for (const batchMessages of splitIntoDatagrams(messages)) {
+				this.sendBatch(to, batchMessages);
 			}
 		}
 		this.outboxes.clear();
@@ -99,29 +106,29 @@
 
 	close(): void {
 		this.flush();
-		this.closed = true;
+		this.isClosed = true;
 		this.socket.close();
 	}
 
-	/** After a quiet time a message leaves at once; under load messages wait for each other. */
-	private untilFlush(): number {
-		return Math.max(0, this.flushedAt + this.opts.flushIntervalMs - performance.now());
+	/** Zero after an idle interval, so a lone message leaves without delay; under load messages are batched. */
+	private msUntilFlush(): number {
+		return Math.max(0, this.lastFlushMs + this.opts.flushIntervalMs - performance.now());
 	}
 
-	private sendPart(to: PeerAddress, messages: PeerMessage[]): void {
-		if (this.closed || this.opts.isPeerBlocked?.(to.id)) {
+	private sendBatch(to: PeerAddress, messages: PeerMessage[]): void {
+		if (this.isClosed || this.opts.isPeerBlocked?.(to.id)) {
 			return;
 		}
 		const batch = { from: this.opts.selfId, time: this.opts.clock.now(), messages };
 		const datagram = codec.encodeBatch(batch, this.secret);
 		this.traffic.datagramsSent++;
-		this.traffic.bytesSent += datagram.length + headBytes;
+		this.traffic.bytesSent += datagram.length + ipUdpHeaderBytes;
 		this.socket.send(datagram, to.port, to.address, () => {});
 	}
 
 	private receive(datagram: Buffer): void {
 		this.traffic.datagramsReceived++;
-		this.traffic.bytesReceived += datagram.length + headBytes;
+		this.traffic.bytesReceived += datagram.length + ipUdpHeaderBytes;
 		const batch = codec.decodeBatch(datagram, this.secret);
 		if (!batch) {
 			this.traffic.datagramsRejected++;
@@ -135,24 +142,24 @@
 	}
 }
 
-/** Parts that fit one datagram each. */
-function split(messages: readonly PeerMessage[]): PeerMessage[][] {
-	if (messages.length <= surelyFits) {
+/** Splits messages into batches that fit one datagram each. */
+function splitIntoDatagrams(messages: readonly PeerMessage[]): PeerMessage[][] {
+	if (messages.length <= maxUncheckedMessages) {
 		return [[...messages]];
 	}
-	const parts: PeerMessage[][] = [];
-	let part: PeerMessage[] = [];
-	let size = batchOverhead;
+	const batches: PeerMessage[][] = [];
+	let batchMessages: PeerMessage[] = [];
+	let size = batchOverheadBytes;
 	for (const message of messages) {
 		const bytes = codec.encodedMessageBytes(message);
-		if (part.length > 0 && size + bytes > maxPayload) {
-			parts.push(part);
-			part = [];
-			size = batchOverhead;
+		if (batchMessages.length > 0 && size + bytes > maxPayloadBytes) {
+			batches.push(batchMessages);
+			batchMessages = [];
+			size = batchOverheadBytes;
 		}
-		part.push(message);
+		batchMessages.push(message);
 		size += bytes;
 	}
-	parts.push(part);
-	return parts;
+	batches.push(batchMessages);
+	return batches;
 }
--- a/src/infra/rate-limited-log.ts
+++ b/src/infra/rate-limited-log.ts
@@ -1,23 +1,24 @@
 /**
- * Bounds the lines of a log a second, each event by itself, so that one kind cannot push out the
- * others. Warnings and errors have shares of their own. What was left out is counted and said.
+ * Limits log lines per second for each combination of level and event, so that a frequent event
+ * cannot crowd out the others. Suppressed lines are counted and reported as `log.thinned`; debug lines
+ * are not limited.
  * @module
  */
 import type { Clock, Fields, Log } from '../core/definitions.js';
 
-/** Lines of one event and level that pass in a second; four times the busiest known VM's requests. */
-const linesPerSecond = 80;
+/** Lines of one event and level that are logged per window. */
+const maxLinesPerWindow = 80;
 const windowMs = 1000;
 
-interface Window {
+interface RateWindow {
 	startedAt: number;
 	lines: number;
-	leftOut: number;
+	suppressed: number;
 }
 
 export class RateLimitedLog implements Log {
-	private readonly windows = new Map<string, Window>();
-	/** Lines left out since the start. */
+	private readonly windows = new Map<string, RateWindow>();
+	/** Lines suppressed since the process started. */
 	suppressedTotal = 0;
 
 	constructor(
@@ -30,39 +31,40 @@
 	}
 
 	info(event: string, fields: Fields = {}): void {
-		if (this.passes('info', event)) {
+		if (this.admit('info', event)) {
 			this.inner.info(event, fields);
 		}
 	}
 
 	warn(event: string, fields: Fields = {}): void {
-		if (this.passes('warn', event)) {
+		if (this.admit('warn', event)) {
 			this.inner.warn(event, fields);
 		}
 	}
 
 	error(event: string, fields: Fields = {}): void {
-		if (this.passes('error', event)) {
+		if (this.admit('error', event)) {
 			this.inner.error(event, fields);
 		}
 	}
 
-	private passes(level: string, event: string): boolean {
+	/** Counts a line against the window of its level and event; returns whether it is logged. */
+	private admit(level: string, event: string): boolean {
 		const now = this.clock.monotonic();
-		const name = `${level} ${event}`;
-		const window = this.windows.get(name);
+		const key = `${level} ${event}`;
+		const window = this.windows.get(key);
 		if (!window || now - window.startedAt >= windowMs) {
-			this.windows.set(name, { startedAt: now, lines: 1, leftOut: 0 });
-			if (window && window.leftOut > 0) {
-				this.inner.warn('log.thinned', { of: event, lines: window.leftOut });
+			this.windows.set(key, { startedAt: now, lines: 1, suppressed: 0 });
+			if (window && window.suppressed > 0) {
+				this.inner.warn('log.thinned', { of: event, lines: window.suppressed });
 			}
 			return true;
 		}
-		if (window.lines < linesPerSecond) {
+		if (window.lines < maxLinesPerWindow) {
 			window.lines++;
 			return true;
 		}
-		window.leftOut++;
+		window.suppressed++;
 		this.suppressedTotal++;
 		return false;
 	}
--- a/src/infra/replay-client.ts
+++ b/src/infra/replay-client.ts
@@ -1,5 +1,5 @@
 /**
- * Sends a trace's requests at their times and judges each answer.
+ * Sends the requests of a trace to daemons at the times it gives and checks each answer.
  * @module
  */
 import * as crypto from 'node:crypto';
@@ -8,33 +8,34 @@
 import type { ReplayResult, TraceRequest } from '../core/replay/types.js';
 
 export interface ReplayOptions {
-	/** Base URLs of daemons, used in turn. */
+	/** Base URLs of daemons, used round-robin. */
 	daemonUrls: string[];
-	/** Bearer key of each customer. */
+	/** API key by customer. */
 	keys: ReadonlyMap<string, string>;
 	/** Called after each result. */
 	onResult?: (result: ReplayResult, done: number, total: number) => void;
-	/** Nothing is waited for longer, in milliseconds. */
+	/** Timeout of each request, and of each wait for its headers or body. */
 	timeoutMs: number;
 }
 
-interface Reading {
+/** State of an answer while it is read. */
+interface AnswerProgress {
 	text: string;
 	tokens: number;
-	firstAt: number;
-	lastAt: number;
+	firstTokenAt: number;
+	lastTokenAt: number;
 	outcome: string;
 	error?: string;
-	ended: boolean;
+	hasEnded: boolean;
 }
 
 export class ReplayClient {
 	private readonly agent = new undici.Agent({ connections: 2048, pipelining: 1 });
-	private turn = 0;
+	private nextDaemonIndex = 0;
 
 	constructor(private readonly opts: ReplayOptions) {}
 
-	/** Resolves when every request has its result. */
+	/** Sends all requests and resolves when each has a result; closes the connections. */
 	async replay(trace: readonly TraceRequest[]): Promise<ReplayResult[]> {
 		const start = performance.now();
 		const results: ReplayResult[] = [];
@@ -51,37 +52,38 @@
 
 	private async send(item: TraceRequest): Promise<ReplayResult> {
 		const sentAt = Date.now();
-		const began = performance.now();
-		const reading: Reading = {
+		const startedAt = performance.now();
+		const progress: AnswerProgress = {
 			text: '',
 			tokens: 0,
-			firstAt: 0,
-			lastAt: 0,
+			firstTokenAt: 0,
+			lastTokenAt: 0,
 			outcome: '',
-			ended: false,
+			hasEnded: false,
 		};
 		let status = 0;
 		let headers: Record<string, string | string[] | undefined> = {};
 		try {
-			const res = await this.balance(item);
+			const res = await this.sendWithFailover(item);
 			status = res.statusCode;
 			headers = res.headers;
-			await readAnswer(item, res, reading);
+			await readAnswer(item, res, progress);
 		} catch (err) {
-			reading.error ??= (err as Error).message;
+			progress.error ??= (err as Error).message;
 		}
-		return judge(item, reading, { sentAt, began, status, headers });
+		return evaluateAnswer(item, progress, { sentAt, startedAt, status, headers });
 	}
 
-	/** As a balancer does: a daemon that cannot be reached is passed over. */
-	private async balance(item: TraceRequest): Promise<undici.Dispatcher.ResponseData> {
-		for (let tries = 1; ; tries++) {
-			const daemon = this.opts.daemonUrls[this.turn++ % this.opts.daemonUrls.length] ?? '';
+	/** Behaves like a load balancer: skips daemons that refuse connections. */
+	private async sendWithFailover(item: TraceRequest): Promise<undici.Dispatcher.ResponseData> {
+		for (let attempts = 1; ; attempts++) {
+			const daemon =
+				this.opts.daemonUrls[this.nextDaemonIndex++ % this.opts.daemonUrls.length] ?? '';
 			try {
 				return await this.request(daemon, item);
 			} catch (err) {
 				const refused = (err as { code?: string }).code === 'ECONNREFUSED';
-				if (!refused || tries >= this.opts.daemonUrls.length) {
+				if (!refused || attempts >= this.opts.daemonUrls.length) {
 					throw err;
 				}
 			}
@@ -97,10 +99,10 @@
 		if (item.key !== undefined) {
 			headers['idempotency-key'] = item.key;
 		}
-		return undici.request(`${daemon}${pathOf(item)}`, {
+		return undici.request(`${daemon}${buildPath(item)}`, {
 			method: 'POST',
 			headers,
-			body: bodyOf(item),
+			body: buildBody(item),
 			dispatcher: this.agent,
 			signal: AbortSignal.timeout(this.opts.timeoutMs),
 			headersTimeout: this.opts.timeoutMs,
@@ -109,21 +111,25 @@
 	}
 }
 
-interface Sent {
+interface SentRequest {
 	sentAt: number;
-	began: number;
+	startedAt: number;
 	status: number;
 	headers: Record<string, string | string[] | undefined>;
 }
 
-function judge(item: TraceRequest, reading: Reading, sent: Sent): ReplayResult {
+function evaluateAnswer(
+	item: TraceRequest,
+	progress: AnswerProgress,
+	sent: SentRequest,
+): ReplayResult {
 	const header = String(sent.headers['x-slategauge-outcome'] ?? '');
-	const outcome = reading.outcome || header || (reading.ended ? 'complete' : 'incomplete');
-	const hash = crypto.createHash('sha256').update(reading.text).digest('hex');
+	const outcome = progress.outcome || header || (progress.hasEnded ? 'complete' : 'incomplete');
+	const hash = crypto.createHash('sha256').update(progress.text).digest('hex');
 	const wrongText = item.answer_sha256 !== undefined && hash !== item.answer_sha256;
 	const wrongOutcome = !item.outcomes.includes(outcome);
 	const retryAfter = sent.headers['retry-after'];
-	const gaps = Math.max(reading.tokens - 1, 1);
+	const gaps = Math.max(progress.tokens - 1, 1);
 	return {
 		id: item.id,
 		request: String(sent.headers['x-slategauge-request-id'] ?? ''),
@@ -132,13 +138,13 @@
 		sentAt: sent.sentAt,
 		outcome,
 		status: sent.status,
-		error: reading.error,
+		error: progress.error,
 		streamed: item.stream,
 		wrong: wrongOutcome || (outcome === 'complete' && (wrongText || sent.status >= 400)),
-		tokens: reading.tokens,
-		firstTokenMs: reading.firstAt > 0 ? reading.firstAt - sent.began : 0,
-		betweenMs: reading.tokens > 1 ? (reading.lastAt - reading.firstAt) / gaps : 0,
-		totalMs: performance.now() - sent.began,
+		tokens: progress.tokens,
+		firstTokenMs: progress.firstTokenAt > 0 ? progress.firstTokenAt - sent.startedAt : 0,
+		betweenMs: progress.tokens > 1 ? (progress.lastTokenAt - progress.firstTokenAt) / gaps : 0,
+		totalMs: performance.now() - sent.startedAt,
 		retryAfterS: retryAfter === undefined ? undefined : Number(retryAfter),
 	};
 }
@@ -146,33 +152,33 @@
 async function readAnswer(
 	item: TraceRequest,
 	res: undici.Dispatcher.ResponseData,
-	reading: Reading,
+	progress: AnswerProgress,
 ): Promise<void> {
 	const type = String(res.headers['content-type'] ?? '');
 	if (type.startsWith('text/event-stream')) {
-		await readStream(item, res, reading);
+		await readStream(item, res, progress);
 		return;
 	}
 	const text = await res.body.text();
-	reading.ended = true;
+	progress.hasEnded = true;
 	const json = parseJson(text);
 	if (res.statusCode >= 400) {
-		reading.error = json?.error?.message ?? text;
+		progress.error = json?.error?.message ?? text;
 		return;
 	}
-	reading.firstAt = performance.now();
-	reading.lastAt = reading.firstAt;
-	reading.text = textOf(item, json, text);
-	reading.tokens = json?.usage?.completion_tokens ?? 0;
+	progress.firstTokenAt = performance.now();
+	progress.lastTokenAt = progress.firstTokenAt;
+	progress.text = extractText(item, json, text);
+	progress.tokens = json?.usage?.completion_tokens ?? 0;
 }
 
 async function readStream(
 	item: TraceRequest,
 	res: undici.Dispatcher.ResponseData,
-	reading: Reading,
+	progress: AnswerProgress,
 ): Promise<void> {
 	const decoder = new TextDecoder();
-	const parser = eventsource.createParser({ onEvent: (event) => readEvent(item, event, reading) });
+	const parser = eventsource.createParser({ onEvent: (event) => readEvent(item, event, progress) });
 	for await (const chunk of res.body) {
 		parser.feed(decoder.decode(chunk as Buffer, { stream: true }));
 	}
@@ -181,29 +187,29 @@
 function readEvent(
 	item: TraceRequest,
 	event: eventsource.EventSourceMessage,
-	reading: Reading,
+	progress: AnswerProgress,
 ): void {
 	if (event.data === '[DONE]') {
-		reading.ended = true;
-		reading.outcome = 'complete';
+		progress.hasEnded = true;
+		progress.outcome = 'complete';
 		return;
 	}
 	const json = parseJson(event.data);
 	if (json?.error) {
-		reading.error = json.error.message;
-		reading.outcome = json.error.outcome ?? 'incomplete';
+		progress.error = json.error.message;
+		progress.outcome = json.error.outcome ?? 'incomplete';
 		return;
 	}
-	const text = textOf(item, json, '');
+	const text = extractText(item, json, '');
 	if (text !== '') {
-		reading.lastAt = performance.now();
-		reading.firstAt ||= reading.lastAt;
-		reading.tokens++;
-		reading.text += text;
+		progress.lastTokenAt = performance.now();
+		progress.firstTokenAt ||= progress.lastTokenAt;
+		progress.tokens++;
+		progress.text += text;
 	}
 }
 
-/** The parts of an answer that are read. */
+/** Fields of an answer that are checked. */
 interface AnswerJson {
 	error?: { message?: string; outcome?: string };
 	usage?: { completion_tokens?: number };
@@ -218,7 +224,7 @@
 	}
 }
 
-function textOf(item: TraceRequest, json: AnswerJson | undefined, raw: string): string {
+function extractText(item: TraceRequest, json: AnswerJson | undefined, raw: string): string {
 	if (item.kind === 'service') {
 		return raw;
 	}
@@ -226,31 +232,31 @@
 	return choice?.message?.content ?? choice?.delta?.content ?? choice?.text ?? '';
 }
 
-function pathOf(item: TraceRequest): string {
+function buildPath(item: TraceRequest): string {
 	if (item.kind === 'service') {
 		return `/services/${item.target}/`;
 	}
 	return item.kind === 'chat' ? '/v1/chat/completions' : '/v1/completions';
 }
 
-function bodyOf(item: TraceRequest): string {
+function buildBody(item: TraceRequest): string {
 	if (item.kind === 'service') {
 		return item.prompt;
 	}
-	const shared = { model: item.target, stream: item.stream };
+	const commonFields = { model: item.target, stream: item.stream };
 	if (item.kind === 'completion') {
-		return JSON.stringify({ ...shared, prompt: item.prompt });
+		return JSON.stringify({ ...commonFields, prompt: item.prompt });
 	}
 	const system = item.system === '' ? [] : [{ role: 'system', content: item.system }];
 	return JSON.stringify({
-		...shared,
+		...commonFields,
 		messages: [...system, { role: 'user', content: item.prompt }],
 	});
 }
 
 async function waitUntil(at: number): Promise<void> {
-	const wait = at - performance.now();
-	if (wait > 0) {
-		await new Promise((done) => setTimeout(done, wait));
+	const remainingMs = at - performance.now();
+	if (remainingMs > 0) {
+		await new Promise((done) => setTimeout(done, remainingMs));
 	}
 }
--- a/src/infra/statsd-metrics.ts
+++ b/src/infra/statsd-metrics.ts
@@ -1,11 +1,12 @@
 /**
- * Metrics by StatsD. Without an agent in the settings nothing is sent.
+ * Metrics through a StatsD agent.
  * @module
  */
 import * as hotShots from 'hot-shots';
 import type { Metrics } from '../core/definitions.js';
 
 export interface StatsdOptions {
+	/** Agent to send to; without one, nothing is sent. */
 	host?: string;
 	port: number;
 	vm: string;
--- a/src/infra/system-clock.ts
+++ b/src/infra/system-clock.ts
@@ -1,5 +1,5 @@
 /**
- * The VM's clock.
+ * Clock of the VM, with a time since boot that includes suspensions.
  * @module
  */
 import { performance } from 'node:perf_hooks';
@@ -9,7 +9,7 @@
 export class SystemClock implements Clock {
 	private readonly suspension = new SuspensionMeter();
 
-	/** All suspensions of the VM since the start, in milliseconds. */
+	/** Total time that the VM was suspended since the process started. */
 	get suspendedMs(): number {
 		return this.suspension.totalMs;
 	}
@@ -19,9 +19,9 @@
 	}
 
 	sinceBoot(): number {
-		const steadyMs = performance.now();
-		this.suspension.sample(steadyMs, Date.now());
-		return steadyMs + this.suspension.totalMs;
+		const monotonicMs = performance.now();
+		this.suspension.sample(monotonicMs, Date.now());
+		return monotonicMs + this.suspension.totalMs;
 	}
 
 	wall(): number {
--- a/src/infra/system-random.ts
+++ b/src/infra/system-random.ts
@@ -1,5 +1,5 @@
 /**
- * Random numbers of the system.
+ * Random numbers of the runtime.
  * @module
  */
 import type { Random } from '../core/definitions.js';
@@ -10,7 +10,7 @@
 	}
 
 	hex(bytes: number): string {
-		// The global loads its module when it is first used; the relay never does, which shortens its start.
+		// The global loads its module on first use, which keeps it out of the start-up of the relay.
 		return Buffer.from(crypto.getRandomValues(new Uint8Array(bytes))).toString('hex');
 	}
 }
--- a/src/infra/undici-endpoint-client.ts
+++ b/src/infra/undici-endpoint-client.ts
@@ -1,6 +1,6 @@
 /**
- * Adapter of endpoints by undici: OpenAI-compatible streams as server-sent events, plain HTTP
- * for the rest. A stream is resumed with the `Last-Event-ID` header of the event-stream standard.
+ * Calls endpoints over HTTP with undici; OpenAI-compatible streams arrive as server-sent events.
+ * A stream is resumed with the standard `Last-Event-ID` header.
  * @module
  */
 import * as eventsource from 'eventsource-parser';
@@ -16,7 +16,7 @@
 } from '../core/definitions.js';
 import { callFailures } from '../core/definitions.js';
 
-/** Connections to one endpoint; the daemon's slots are the real bound. */
+/** Connections to one endpoint; high enough that slots, not connections, limit concurrency. */
 const maxConnections = 4096;
 const connectTimeoutMs = 1000;
 const loadTimeoutMs = 1000;
@@ -29,7 +29,7 @@
 		const options: undici.Dispatcher.DispatchOptions = {
 			method: call.method as undici.Dispatcher.HttpMethod,
 			path: call.path,
-			headers: headersOf(call),
+			headers: buildHeaders(call),
 			body: call.body,
 			headersTimeout: call.stallMs,
 			bodyTimeout: call.stallMs,
@@ -80,7 +80,7 @@
 	}
 }
 
-function headersOf(call: EndpointCall): Record<string, string> {
+function buildHeaders(call: EndpointCall): Record<string, string> {
 	const headers: Record<string, string> = { ...call.headers, 'x-request-id': call.id };
 	headers['x-priority'] = String(call.priority);
 	if (call.offset > 0) {
@@ -89,41 +89,41 @@
 	return headers;
 }
 
-/** Turns one undici dispatch into calls of the sink. */
+/** Forwards the callbacks of one undici dispatch to a sink. */
 class CallHandler implements undici.Dispatcher.DispatchHandler, RunningCall {
 	private controller?: undici.Dispatcher.DispatchController;
 	private readonly decoder = new TextDecoder();
 	private parser?: eventsource.EventSourceParser;
-	private parsed: StreamEvent[] = [];
-	private sent = false;
-	private done = false;
-	private paused = false;
+	private pendingEvents: StreamEvent[] = [];
+	private hasStarted = false;
+	private isDone = false;
+	private isPaused = false;
 
 	constructor(private readonly sink: AnswerSink) {}
 
 	pause(): void {
-		this.paused = true;
+		this.isPaused = true;
 		this.controller?.pause();
 	}
 
 	resume(): void {
-		this.paused = false;
+		this.isPaused = false;
 		this.controller?.resume();
 	}
 
 	cancel(): void {
-		this.done = true;
+		this.isDone = true;
 		this.controller?.abort(new Error('cancelled'));
 	}
 
-	/** undici calls this before it writes the first byte. */
+	/** Called before undici writes the first byte of the request. */
 	onRequestStart(controller: undici.Dispatcher.DispatchController): void {
 		this.controller = controller;
-		if (this.done) {
+		if (this.isDone) {
 			controller.abort(new Error('cancelled'));
 			return;
 		}
-		this.sent = true;
+		this.hasStarted = true;
 	}
 
 	onResponseStart(
@@ -131,18 +131,18 @@
 		status: number,
 		headers: Record<string, string | string[] | undefined>,
 	): void {
-		if (this.done || status < 200) {
+		if (this.isDone || status < 200) {
 			return;
 		}
-		const plain = plainHeaders(headers);
-		if (plain['content-type']?.startsWith('text/event-stream')) {
-			this.parser = eventsource.createParser({ onEvent: (event) => this.keep(event) });
+		const flatHeaders = flattenHeaders(headers);
+		if (flatHeaders['content-type']?.startsWith('text/event-stream')) {
+			this.parser = eventsource.createParser({ onEvent: (event) => this.enqueueEvent(event) });
 		}
-		this.sink.onHead(status, plain);
+		this.sink.onHead(status, flatHeaders);
 	}
 
 	onResponseData(_controller: undici.Dispatcher.DispatchController, chunk: Buffer): void {
-		if (this.done) {
+		if (this.isDone) {
 			return;
 		}
 		if (!this.parser) {
@@ -150,44 +150,45 @@
 			return;
 		}
 		this.parser.feed(this.decoder.decode(chunk, { stream: true }));
-		if (this.parsed.length > 0) {
-			const events = this.parsed;
-			this.parsed = [];
+		if (this.pendingEvents.length > 0) {
+			const events = this.pendingEvents;
+			this.pendingEvents = [];
 			this.sink.onEvents(events);
 		}
-		if (this.paused) {
+		if (this.isPaused) {
 			this.controller?.pause();
 		}
 	}
 
 	onResponseEnd(): void {
-		if (!this.done) {
-			this.done = true;
+		if (!this.isDone) {
+			this.isDone = true;
 			this.sink.onEnd();
 		}
 	}
 
 	onResponseError(_controller: undici.Dispatcher.DispatchController, err: Error): void {
-		if (!this.done) {
-			this.done = true;
-			this.sink.onError(this.sent ? callFailures.broken : callFailures.notSent, err.message);
+		if (!this.isDone) {
+			this.isDone = true;
+			this.sink.onError(this.hasStarted ? callFailures.broken : callFailures.notSent, err.message);
 		}
 	}
 
-	private keep(event: eventsource.EventSourceMessage): void {
+	private enqueueEvent(event: eventsource.EventSourceMessage): void {
 		const offset = event.id === undefined ? undefined : Number(event.id);
-		this.parsed.push({ data: event.data, offset });
+		this.pendingEvents.push({ data: event.data, offset });
 	}
 }
 
-function plainHeaders(
+/** Joins the values of repeated headers. */
+function flattenHeaders(
 	headers: Record<string, string | string[] | undefined>,
 ): Record<string, string> {
-	const plain: Record<string, string> = {};
+	const flatHeaders: Record<string, string> = {};
 	for (const [name, value] of Object.entries(headers)) {
 		if (value !== undefined) {
-			plain[name] = Array.isArray(value) ? value.join(', ') : value;
+			flatHeaders[name] = Array.isArray(value) ? value.join(', ') : value;
 		}
 	}
-	return plain;
+	return flatHeaders;
 }
--- a/test/steps/replay.steps.ts
+++ b/test/steps/replay.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of replay, reports and pages.
+ * Steps for trace replay, reports and timeline pages.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -12,9 +12,9 @@
 import { run } from './programs.steps.js';
 import type { FleetWorld } from './world.js';
 
-const morning = 'test/fixtures/lakeshore-morning.jsonl';
+const morningTracePath = 'test/fixtures/lakeshore-morning.jsonl';
 
-function globals(world: FleetWorld): string[] {
+function globalArgs(world: FleetWorld): string[] {
 	const daemon = `127.0.0.1:${world.running.daemons[0]?.controlPort}`;
 	return ['--daemon', daemon, '--token', peerToken];
 }
@@ -24,19 +24,19 @@
 	const trace = path.join(dir, 'trace.jsonl');
 	const keys = path.join(dir, 'keys.json');
 	const results = path.join(dir, 'results.jsonl');
-	const byCustomer = lakeshore.customers.map(({ name }) => [name, keyOf(name)]);
+	const keyEntries = lakeshore.customers.map(({ name }) => [name, keyOf(name)]);
 	await fs.writeFile(trace, `${lines.join('\n')}\n`);
-	await fs.writeFile(keys, JSON.stringify(Object.fromEntries(byCustomer)));
-	const to = world.running.daemonUrls.flatMap((url) => ['--to', url]);
-	const args = ['replay', trace, '--keys', keys, '--results', results, ...to];
+	await fs.writeFile(keys, JSON.stringify(Object.fromEntries(keyEntries)));
+	const daemonArgs = world.running.daemonUrls.flatMap((url) => ['--to', url]);
+	const args = ['replay', trace, '--keys', keys, '--results', results, ...daemonArgs];
 	world.seen.set('dir', dir);
-	world.seen.set('ran', await run('slategauge', [...args, ...globals(world)]));
+	world.seen.set('ran', await run('slategauge', [...args, ...globalArgs(world)]));
 }
 
 cucumber.When(
 	'the operator replays the first {int} requests of the morning',
 	async function (this: FleetWorld, count: number) {
-		const lines = (await fs.readFile(morning, 'utf8')).split('\n');
+		const lines = (await fs.readFile(morningTracePath, 'utf8')).split('\n');
 		await replay(this, lines.slice(0, count));
 	},
 );
@@ -48,19 +48,19 @@
 	},
 );
 
-async function makePage(world: FleetWorld, args: (page: string) => string[]): Promise<void> {
+async function generatePage(world: FleetWorld, args: (page: string) => string[]): Promise<void> {
 	const page = path.join(String(world.seen.get('dir')), 'page.html');
-	world.seen.set('ran', await run('slategauge', [...args(page), ...globals(world)]));
+	world.seen.set('ran', await run('slategauge', [...args(page), ...globalArgs(world)]));
 	world.seen.set('page', await fs.readFile(page, 'utf8'));
 }
 
 cucumber.When('the operator makes a report of it', async function (this: FleetWorld) {
 	const results = path.join(String(this.seen.get('dir')), 'results.jsonl');
-	await makePage(this, (page) => ['report', results, '--out', page]);
+	await generatePage(this, (page) => ['report', results, '--out', page]);
 });
 
 cucumber.When('the operator draws the time line', async function (this: FleetWorld) {
-	await makePage(this, (page) => ['timeline', '--html', page]);
+	await generatePage(this, (page) => ['timeline', '--html', page]);
 });
 
 cucumber.Then('the page has a chart of {string}', function (this: FleetWorld, title: string) {
