--- a/src/daemon/relay/cost-report.ts
+++ b/src/daemon/relay/cost-report.ts
@@ -27,17 +27,17 @@
 	/** Writes a line for each service. */
 	write(): void {
 		for (const service of this.services()) {
-			const figures = this.costs.of(service);
+			const estimates = this.costs.of(service);
 			const { observations, peers } = this.costs.sources(service);
 			this.log.info('costs.learned', {
 				service,
-				read_tokens_per_ms: rounded(1 / figures.readMsPerToken),
-				first_ms: rounded(figures.firstEventOverheadMs),
-				copy_tokens_per_ms: rounded(1 / figures.copyMsPerToken),
-				copy_setup_ms: rounded(figures.copySetupMs),
-				event_ms: rounded(figures.eventIntervalMs),
-				answer_ms_per_token: rounded(figures.answerMsPerToken),
-				held_ms: Math.round(figures.slotOccupancyMs),
+				read_tokens_per_ms: rounded(1 / estimates.readMsPerToken),
+				first_ms: rounded(estimates.firstEventOverheadMs),
+				copy_tokens_per_ms: rounded(1 / estimates.copyMsPerToken),
+				copy_setup_ms: rounded(estimates.copySetupMs),
+				event_ms: rounded(estimates.eventIntervalMs),
+				answer_ms_per_token: rounded(estimates.answerMsPerToken),
+				held_ms: Math.round(estimates.slotOccupancyMs),
 				observations,
 				peers,
 				...this.speedsOf(service),
@@ -61,7 +61,7 @@
 		return this.services().map((service) => {
 			const speeds = this.costs.paces.list(service, this.clock.monotonic());
 			const slowestPace = Math.max(1, ...speeds.map(({ steps }) => steps));
-			return { service, figures: this.costs.of(service), slowestPace };
+			return { service, estimates: this.costs.of(service), slowestPace };
 		});
 	}
 }
--- a/src/daemon/relay/peer-exchange.ts
+++ b/src/daemon/relay/peer-exchange.ts
@@ -13,7 +13,7 @@
 import type { GossipMessage } from '../../core/fleet/types.js';
 import type { PermitRequest, PermitResponse } from '../../core/limits/types.js';
 import type { HostPort } from '../../core/relay/settings.js';
-import { PeerDatagrams } from '../../infra/relay/peer-datagrams.js';
+import { PeerDatagramSocket } from '../../infra/relay/peer-datagram-socket.js';
 import { PeerTransfers } from '../../infra/relay/peer-transfers.js';
 import { DueTimer } from './due-timer.js';
 
@@ -47,19 +47,19 @@
 }
 
 export class PeerExchange {
-	private readonly datagrams: PeerDatagrams;
+	private readonly datagrams: PeerDatagramSocket;
 	private readonly news: GossipExchange;
 	private readonly transfers: PeerTransfers;
 	private readonly timer: DueTimer;
 
 	constructor(private readonly opts: PeerExchangeOptions) {
 		const { clock, log, self, fleet, listed, seeds } = opts;
-		this.datagrams = new PeerDatagrams(log, {
-			news: (news) => this.receive(news),
-			usage: (usage) => this.opts.onUsage(usage),
-			usageTaken: (taken) => this.opts.onUsageTaken(taken),
-			permitAsk: (ask) => this.opts.onPermitAsk(ask),
-			permitAnswer: (answer) => this.opts.onPermitAnswer(answer),
+		this.datagrams = new PeerDatagramSocket(log, {
+			onGossip: (news) => this.receive(news),
+			onUsage: (usage) => this.opts.onUsage(usage),
+			onUsageAck: (taken) => this.opts.onUsageTaken(taken),
+			onPermitRequest: (ask) => this.opts.onPermitAsk(ask),
+			onPermitResponse: (answer) => this.opts.onPermitAnswer(answer),
 		});
 		this.news = new GossipExchange({
 			clock,
@@ -69,7 +69,7 @@
 			self: self.address,
 			otherVms: listed,
 			seeds,
-			send: (to, news) => this.datagrams.sendNews(to, news),
+			send: (to, news) => this.datagrams.sendGossip(to, news),
 		});
 		const { news } = this;
 		this.timer = new DueTimer(
@@ -77,7 +77,7 @@
 			() => news.dueAt,
 			() => news.sendDue(),
 		);
-		this.transfers = new PeerTransfers({ log, textOf: (target) => this.textOf(target) });
+		this.transfers = new PeerTransfers({ log, getDocument: (target) => this.textOf(target) });
 	}
 
 	/** Where peers fetch what this VM has. */
@@ -102,15 +102,15 @@
 	}
 
 	sendUsageTaken(to: HostPort, taken: UsageAck): void {
-		this.datagrams.sendUsageTaken(to, taken);
+		this.datagrams.sendUsageAck(to, taken);
 	}
 
 	sendPermitAsk(to: HostPort, ask: PermitRequest): void {
-		this.datagrams.sendPermitAsk(to, ask);
+		this.datagrams.sendPermitRequest(to, ask);
 	}
 
 	sendPermitAnswer(to: HostPort, answer: PermitResponse): void {
-		this.datagrams.sendPermitAnswer(to, answer);
+		this.datagrams.sendPermitResponse(to, answer);
 	}
 
 	/** Something changed that peers should know. */
--- a/src/daemon/relay/relay-daemon.ts
+++ b/src/daemon/relay/relay-daemon.ts
@@ -17,10 +17,10 @@
 import type { RelaySettings } from '../../core/relay/settings.js';
 import { StartupQueue } from '../../core/relay/startup-queue.js';
 import { ConfigurationState } from '../../core/routing/configuration-state.js';
-import { CallersFront } from '../../infra/relay/callers-front.js';
 import { UndiciEngineTransport } from '../../infra/relay/engine-transport.js';
 import { PrometheusMetrics } from '../../infra/relay/prometheus-metrics.js';
 import { createMetricsServer, createReadinessServer } from '../../infra/relay/readiness-server.js';
+import { RelayHttpServer } from '../../infra/relay/relay-http-server.js';
 import { SystemClock } from '../../infra/system-clock.js';
 import { SystemRandom } from '../../infra/system-random.js';
 import * as platform from '../../platform/index.js';
@@ -64,7 +64,7 @@
 	private readonly dutyApi?: platform.PlatformDutyApi;
 	private readonly quarantine: Quarantine;
 	private readonly quarantineRecords: QuarantineRecords;
-	private readonly front: CallersFront;
+	private readonly front: RelayHttpServer;
 	private readonly readiness: http.Server;
 	private readonly metrics: PrometheusMetrics;
 	private readonly metricsServer: http.Server;
@@ -199,16 +199,16 @@
 			this.clock,
 		);
 		this.metrics = new PrometheusMetrics({
-			open: () => this.relay.openRequests,
-			peers: () => fleet.size,
+			openRequests: () => this.relay.openRequests,
+			liveVms: () => fleet.size,
 			configurationVersion: () => this.configuration.version,
 			storeCalls: () => this.store.calls,
 			storeReachable: () => (this.reading.isUpToDate ? 1 : 0),
 			logLinesDropped: linesDropped,
 			duties: () => ({ ...noDuties, ...this.duties?.totals, token: this.duties?.token ?? 0 }),
-			costs: () => this.costReport.samples(),
-			limited: () => limits.ledger.size,
-			quarantined: () => this.quarantine.contents.size,
+			costEstimates: () => this.costReport.samples(),
+			limitedEngines: () => limits.ledger.size,
+			quarantinedContents: () => this.quarantine.contents.size,
 		});
 		this.restoration = new StoreRestoration({
 			log,
@@ -219,7 +219,7 @@
 			quarantineRecords: this.quarantineRecords,
 			reading: this.reading,
 			duties: this.duties,
-			onRestored: () => this.metrics.storeRestored(),
+			onRestored: () => this.metrics.recordStoreRestored(),
 		});
 		this.metricsServer = createMetricsServer(() => this.metrics.render());
 		this.startHold = new StartupQueue({ clock, log, isLoaded: () => this.knowsEnough });
@@ -247,17 +247,17 @@
 			refusal: (route) => this.planned.refusal(route),
 			metrics: this.metrics,
 		});
-		this.front = new CallersFront({
+		this.front = new RelayHttpServer({
 			clock,
 			log,
 			decode: platform.decodeRequest,
-			isLate: () => this.watch.delayMs > lateMs,
+			isEventLoopLagging: () => this.watch.delayMs > lateMs,
 			handle: (req, res) => this.relay.handle(req, res),
 		});
 		this.watch = new LoopWatch({
 			clock,
 			log,
-			onDelay: (ms) => this.metrics.delayed(ms),
+			onDelay: (ms) => this.metrics.recordEventLoopDelay(ms),
 			onSuspended: () => this.reading.wokeUp(),
 		});
 		this.planned = new PlannedStop(clock, () => this.settings.stopMs);
@@ -295,12 +295,12 @@
 		}
 		this.planned.begin();
 		this.log.info('daemon.stopping', { requests: this.relay.openRequests });
-		this.front.stopKeeping();
+		this.front.disableKeepAlive();
 		this.links.retire();
 		await this.duties?.release();
 		await sleep(takeStreamsMs);
-		while (this.front.open > 0 && !this.planned.isOver) {
-			this.front.closeIdle();
+		while (this.front.openRequests > 0 && !this.planned.isOver) {
+			this.front.closeIdleConnections();
 			await sleep(stopPollMs);
 		}
 		this.relay.abortAll('the daemon stops');
--- a/src/infra/relay/engine-connections.ts
+++ b/src/infra/relay/engine-connection-pool.ts
@@ -25,9 +25,9 @@
 /** One connection; it remembers whether it broke, since undici takes a reset for the end of an answer that has no length. */
 export class EngineConnection {
 	/** It ended by an error, not by the engine's orderly close. */
-	broken = false;
+	isBroken = false;
 	/** Settles once it is known how the connection ended. */
-	ended?: Promise<void>;
+	resetChecked?: Promise<void>;
 	private readonly client: undici.Client;
 
 	/** @param onLost it was closed, by whomever */
@@ -63,8 +63,8 @@
 	}
 
 	private connect(callback: undici.buildConnector.Callback): void {
-		this.broken = false;
-		this.ended = undefined;
+		this.isBroken = false;
+		this.resetChecked = undefined;
 		const { hostname: host, port } = this.origin;
 		const socket = net.connect({
 			host,
@@ -80,7 +80,7 @@
 			callback(null, socket);
 		});
 		socket.on('error', (err: NodeJS.ErrnoException) => {
-			this.broken ||= err.code !== ownClose;
+			this.isBroken ||= err.code !== ownClose;
 			if (!isSettled) {
 				isSettled = true;
 				clearTimeout(timer);
@@ -97,10 +97,10 @@
 	 * error behind it. Writing asks: it fails after a reset and succeeds after an orderly end.
 	 */
 	private watchEnd(socket: net.Socket): void {
-		this.ended = new Promise((done) => {
+		this.resetChecked = new Promise((done) => {
 			socket.write(emptyLine, (err) => {
 				const { code } = (err ?? {}) as NodeJS.ErrnoException;
-				this.broken ||= code === 'EPIPE' || code === 'ECONNRESET';
+				this.isBroken ||= code === 'EPIPE' || code === 'ECONNRESET';
 				done();
 			});
 		});
@@ -108,7 +108,7 @@
 }
 
 /** All connections to one engine. */
-export class EngineConnections {
+export class EngineConnectionPool {
 	private readonly origin: URL;
 	/** Those that carry no call, the last one used at the end. */
 	private readonly idle: EngineConnection[] = [];
@@ -120,12 +120,12 @@
 		this.origin = new URL(`http://${address}`);
 	}
 
-	get hasFree(): boolean {
+	get hasIdle(): boolean {
 		return this.idle.length > 0;
 	}
 
 	/** A connection for one call, open or about to be. */
-	take(): EngineConnection {
+	acquire(): EngineConnection {
 		const connection =
 			this.idle.pop() ?? new EngineConnection(this.origin, (lost) => this.lost(lost));
 		this.busy.add(connection);
@@ -133,7 +133,7 @@
 	}
 
 	/** Its call was answered whole: the next one may use it. */
-	giveBack(connection: EngineConnection): void {
+	release(connection: EngineConnection): void {
 		this.busy.delete(connection);
 		if (this.isClosed) {
 			connection.close().catch(() => {});
@@ -143,7 +143,7 @@
 	}
 
 	/** Its call broke, or is no longer wanted: it is not used again. */
-	drop(connection: EngineConnection): void {
+	discard(connection: EngineConnection): void {
 		this.busy.delete(connection);
 		// Not from inside undici's own handling of the call.
 		setImmediate(() => connection.destroy());
--- a/src/infra/relay/engine-transport.ts
+++ b/src/infra/relay/engine-transport.ts
@@ -12,8 +12,8 @@
 	RawHeaders,
 	RunningCall,
 } from '../../core/relay/definitions.js';
-import type { EngineConnection } from './engine-connections.js';
-import { connectTimeoutMs, EngineConnections } from './engine-connections.js';
+import type { EngineConnection } from './engine-connection-pool.js';
+import { connectTimeoutMs, EngineConnectionPool } from './engine-connection-pool.js';
 
 /** Code of the error when nothing listens at a port. */
 const refusedCode = 'ECONNREFUSED';
@@ -25,7 +25,7 @@
 }
 
 export class UndiciEngineTransport implements EngineTransport {
-	private readonly engines = new Map<string, EngineConnections>();
+	private readonly engines = new Map<string, EngineConnectionPool>();
 
 	constructor(private readonly codec: HeadCodec) {}
 
@@ -42,7 +42,7 @@
 	}
 
 	hasIdleConnection(address: string): boolean {
-		return this.engines.get(address)?.hasFree === true;
+		return this.engines.get(address)?.hasIdle === true;
 	}
 
 	isPortClosed(address: string): Promise<boolean> {
@@ -68,10 +68,10 @@
 		await Promise.all([...this.engines.values()].map((engine) => engine.destroy()));
 	}
 
-	private connectionsTo(address: string): EngineConnections {
+	private connectionsTo(address: string): EngineConnectionPool {
 		let engine = this.engines.get(address);
 		if (!engine) {
-			engine = new EngineConnections(address);
+			engine = new EngineConnectionPool(address);
 			this.engines.set(address, engine);
 		}
 		return engine;
@@ -94,9 +94,9 @@
 	constructor(
 		private readonly codec: HeadCodec,
 		private readonly listener: AnswerListener,
-		private readonly engine: EngineConnections,
+		private readonly engine: EngineConnectionPool,
 	) {
-		this.connection = engine.take();
+		this.connection = engine.acquire();
 	}
 
 	start(opts: undici.Dispatcher.DispatchOptions): void {
@@ -161,11 +161,11 @@
 	}
 
 	onComplete(): void {
-		if (this.framed || !this.connection.ended) {
+		if (this.framed || !this.connection.resetChecked) {
 			this.finish();
 			return;
 		}
-		this.connection.ended.then(
+		this.connection.resetChecked.then(
 			() => this.finish(),
 			(err: Error) => this.fail(err),
 		);
@@ -181,11 +181,11 @@
 	}
 
 	private finish(): void {
-		if (!this.framed && this.connection.broken) {
+		if (!this.framed && this.connection.isBroken) {
 			this.fail(new Error('an answer without a length was reset'));
 		} else if (!this.done) {
 			this.done = true;
-			this.engine.giveBack(this.connection);
+			this.engine.release(this.connection);
 			this.listener.onEnd();
 		}
 	}
@@ -199,6 +199,6 @@
 
 	private drop(): void {
 		this.done = true;
-		this.engine.drop(this.connection);
+		this.engine.discard(this.connection);
 	}
 }
--- a/src/infra/relay/news-codec.ts
+++ b/src/infra/relay/gossip-codec.ts
@@ -19,7 +19,7 @@
 import type { IssuerAnnouncement } from '../../core/limits/types.js';
 import type { CrashReport } from '../../core/quarantine/types.js';
 import { packLimit, readLimit } from './limit-codec.js';
-import { messageFormat, messageTypes } from './message-types.js';
+import { messageTypes, wireFormatVersion } from './message-types.js';
 import { RowError, type RowReader, toThousandths } from './row-reader.js';
 
 /** Numbers that tell of the work at one engine. */
@@ -43,9 +43,9 @@
 	[messageTypes.fleet]: gossipKinds.fleet,
 };
 
-export function encodeNews(news: GossipMessage): Uint8Array {
+export function encodeGossip(news: GossipMessage): Uint8Array {
 	return msgpack.encode([
-		messageFormat,
+		wireFormatVersion,
 		messageTypes[news.kind],
 		news.from,
 		news.incarnation,
@@ -75,29 +75,29 @@
  * @param row behind its type
  * @throws RowError when the row is no news
  */
-export function decodeNews(type: number, row: RowReader): GossipMessage {
+export function decodeGossip(type: number, row: RowReader): GossipMessage {
 	const kind = kinds[type];
 	if (kind === undefined) {
 		throw new RowError('a kind of news');
 	}
 	const news: GossipMessage = {
 		kind,
-		from: row.text(),
+		from: row.string(),
 		incarnation: row.number(),
 		seq: row.number(),
 		configurationVersion: row.number(),
-		address: row.text(),
-		isLeaving: row.flag(),
+		address: row.string(),
+		isLeaving: row.boolean(),
 		intervalMs: row.number(),
 		vmCount: row.number(),
-		engines: row.one((range) => ({ from: range.number(), to: range.number() })),
+		engines: row.nested((range) => ({ from: range.number(), to: range.number() })),
 		work: readWork(row.numbers(workFields)),
 		cacheUpdates: row.rows((item) => ({
 			segment: item.number(),
 			engine: item.number(),
-			isPrefilled: item.flag(),
+			isPrefilled: item.boolean(),
 		})),
-		demand: row.one((item) => ({ long: item.thousandths(), short: item.thousandths() })),
+		demand: row.nested((item) => ({ long: item.thousandths(), short: item.thousandths() })),
 		storeReaders: row.rows(readReader),
 		reportAcks: readHeard(row.numbers(heardFields)),
 		costs: row.optionalRows(readCosts),
@@ -107,7 +107,7 @@
 		issuer: row.optionalRows(readIssuer)?.[0],
 		speeds: row.optionalRows(readSpeeds),
 	};
-	row.end();
+	row.expectEnd();
 	return news;
 }
 
@@ -183,7 +183,7 @@
 
 function readReader(row: RowReader): StoreReader {
 	return {
-		address: row.text(),
+		address: row.string(),
 		contactAgeMs: row.number(),
 		revision: row.number(),
 		digest: row.number(),
@@ -202,10 +202,10 @@
 
 function readIssuer(row: RowReader): IssuerAnnouncement {
 	return {
-		address: row.text(),
+		address: row.string(),
 		term: row.number(),
 		heartbeatSeq: row.number(),
-		isResigned: row.flag(),
+		isResigned: row.boolean(),
 	};
 }
 
@@ -235,8 +235,8 @@
 function readCosts(row: RowReader): CostSums {
 	return {
 		service: row.number(),
-		reading: row.one(readLine),
-		copying: row.one(readLine),
+		reading: row.nested(readLine),
+		copying: row.nested(readLine),
 		eventIntervalMs: row.thousandths(),
 		eventWeight: row.number(),
 		events: row.number(),
--- a/src/infra/relay/limit-codec.ts
+++ b/src/infra/relay/limit-codec.ts
@@ -7,7 +7,7 @@
 import { parseAddress } from '../../core/fleet/aggregator-selection.js';
 import type { LimitUpdate, PermitRequest, PermitResponse } from '../../core/limits/types.js';
 import { urgencyLevels } from '../../core/relay/definitions.js';
-import { messageFormat, messageTypes } from './message-types.js';
+import { messageTypes, wireFormatVersion } from './message-types.js';
 import type { RowReader } from './row-reader.js';
 import { RowError, toThousandths } from './row-reader.js';
 
@@ -30,16 +30,16 @@
 	return { engine, limitPerS: perS < 0 ? undefined : perS, version: row.number() };
 }
 
-export function encodePermitAsk({
+export function encodePermitRequest({
 	from,
 	id,
 	limit: word,
 	urgency,
 	waitMs,
 }: PermitRequest): Uint8Array {
-	const { permitAsk } = messageTypes;
+	const { permitRequest: permitAsk } = messageTypes;
 	return msgpack.encode([
-		messageFormat,
+		wireFormatVersion,
 		permitAsk,
 		from,
 		id,
@@ -50,15 +50,15 @@
 }
 
 /** @throws RowError when the row behind the type is no ask, or one that cannot be answered */
-export function decodePermitAsk(row: RowReader): PermitRequest {
+export function decodePermitRequest(row: RowReader): PermitRequest {
 	const ask = {
-		from: row.text(),
+		from: row.string(),
 		id: row.number(),
-		limit: row.one(readLimit),
+		limit: row.nested(readLimit),
 		urgency: row.number(),
 		waitMs: row.number(),
 	};
-	row.end();
+	row.expectEnd();
 	const isWait = ask.waitMs >= 0 && ask.waitMs <= mostWaitMs;
 	if (!isAddress(ask.from) || !urgencies.includes(ask.urgency) || !isWait) {
 		throw new RowError('an ask of a VM');
@@ -72,11 +72,11 @@
 	return net.isIPv4(host) && Number.isInteger(port) && port > 0 && port <= mostPort;
 }
 
-export function encodePermitAnswer(answer: PermitResponse): Uint8Array {
+export function encodePermitResponse(answer: PermitResponse): Uint8Array {
 	const { id, limit: word, isGranted, retryAfterMs } = answer;
-	const { permitAnswer } = messageTypes;
+	const { permitResponse: permitAnswer } = messageTypes;
 	return msgpack.encode([
-		messageFormat,
+		wireFormatVersion,
 		permitAnswer,
 		id,
 		packLimit(word),
@@ -86,13 +86,13 @@
 }
 
 /** @throws RowError when the row behind the type is no answer */
-export function decodePermitAnswer(row: RowReader): PermitResponse {
+export function decodePermitResponse(row: RowReader): PermitResponse {
 	const answer = {
 		id: row.number(),
-		limit: row.one(readLimit),
-		isGranted: row.flag(),
+		limit: row.nested(readLimit),
+		isGranted: row.boolean(),
 		retryAfterMs: row.number(),
 	};
-	row.end();
+	row.expectEnd();
 	return answer;
 }
--- a/src/infra/relay/message-types.ts
+++ b/src/infra/relay/message-types.ts
@@ -4,7 +4,7 @@
  */
 
 /** Messages of another format are not understood; VMs of two formats side by side hear only their own. */
-export const messageFormat = 9;
+export const wireFormatVersion = 9;
 
 /** Type of a message, its second field. */
 export const messageTypes = {
@@ -15,8 +15,8 @@
 	/** What a VM counted, for the holder of the duty to report it. */
 	usage: 3,
 	/** The holder has taken it in. */
-	usageTaken: 4,
+	usageAck: 4,
 	/** A VM asks for leave to send a request to an engine that names a limit, and the answer. */
-	permitAsk: 5,
-	permitAnswer: 6,
+	permitRequest: 5,
+	permitResponse: 6,
 } as const;
--- a/src/infra/relay/peer-datagrams.ts
+++ b/src/infra/relay/peer-datagram-socket.ts
@@ -9,27 +9,27 @@
 import type { GossipMessage } from '../../core/fleet/types.js';
 import type { PermitRequest, PermitResponse } from '../../core/limits/types.js';
 import type { HostPort } from '../../core/relay/settings.js';
+import { decodeGossip, encodeGossip } from './gossip-codec.js';
 import {
-	decodePermitAnswer,
-	decodePermitAsk,
-	encodePermitAnswer,
-	encodePermitAsk,
+	decodePermitRequest,
+	decodePermitResponse,
+	encodePermitRequest,
+	encodePermitResponse,
 } from './limit-codec.js';
-import { messageFormat, messageTypes } from './message-types.js';
-import { decodeNews, encodeNews } from './news-codec.js';
+import { messageTypes, wireFormatVersion } from './message-types.js';
 import { RowReader } from './row-reader.js';
-import { decodeUsage, decodeUsageTaken, encodeUsage, encodeUsageTaken } from './usage-codec.js';
+import { decodeUsage, decodeUsageAck, encodeUsage, encodeUsageAck } from './usage-codec.js';
 
 /** Receives what other VMs send. */
 export interface PeerListener {
-	news(news: GossipMessage): void;
-	usage(usage: UsageCounts): void;
-	usageTaken(taken: UsageAck): void;
-	permitAsk(ask: PermitRequest): void;
-	permitAnswer(answer: PermitResponse): void;
+	onGossip(news: GossipMessage): void;
+	onUsage(usage: UsageCounts): void;
+	onUsageAck(taken: UsageAck): void;
+	onPermitRequest(ask: PermitRequest): void;
+	onPermitResponse(answer: PermitResponse): void;
 }
 
-export class PeerDatagrams {
+export class PeerDatagramSocket {
 	private readonly socket = dgram.createSocket('udp4');
 	private refused = 0;
 	private closed = false;
@@ -52,24 +52,24 @@
 		});
 	}
 
-	sendNews(to: readonly HostPort[], news: GossipMessage): void {
-		this.send(to, encodeNews(news));
+	sendGossip(to: readonly HostPort[], news: GossipMessage): void {
+		this.send(to, encodeGossip(news));
 	}
 
 	sendUsage(to: HostPort, usage: UsageCounts): void {
 		this.send([to], encodeUsage(usage));
 	}
 
-	sendUsageTaken(to: HostPort, taken: UsageAck): void {
-		this.send([to], encodeUsageTaken(taken));
+	sendUsageAck(to: HostPort, taken: UsageAck): void {
+		this.send([to], encodeUsageAck(taken));
 	}
 
-	sendPermitAsk(to: HostPort, ask: PermitRequest): void {
-		this.send([to], encodePermitAsk(ask));
+	sendPermitRequest(to: HostPort, ask: PermitRequest): void {
+		this.send([to], encodePermitRequest(ask));
 	}
 
-	sendPermitAnswer(to: HostPort, answer: PermitResponse): void {
-		this.send([to], encodePermitAnswer(answer));
+	sendPermitResponse(to: HostPort, answer: PermitResponse): void {
+		this.send([to], encodePermitResponse(answer));
 	}
 
 	close(): void {
@@ -89,7 +89,7 @@
 	}
 
 	private receive(datagram: Buffer): void {
-		if (hand(datagram, this.listener)) {
+		if (dispatchDatagram(datagram, this.listener)) {
 			return;
 		}
 		this.refused++;
@@ -103,7 +103,7 @@
  * Decodes a datagram and hands it to the listener.
  * @returns false for bytes that are no message of this format; nothing is handed on then
  */
-export function hand(datagram: Uint8Array, listener: PeerListener): boolean {
+export function dispatchDatagram(datagram: Uint8Array, listener: PeerListener): boolean {
 	const message = decode(datagram);
 	message?.(listener);
 	return message !== undefined;
@@ -113,28 +113,28 @@
 function decode(datagram: Uint8Array): ((listener: PeerListener) => void) | undefined {
 	try {
 		const row = new RowReader(msgpack.decode(datagram));
-		if (row.number() !== messageFormat) {
+		if (row.number() !== wireFormatVersion) {
 			return undefined;
 		}
 		const type = row.number();
 		if (type === messageTypes.usage) {
 			const usage = decodeUsage(row);
-			return (listener) => listener.usage(usage);
+			return (listener) => listener.onUsage(usage);
 		}
-		if (type === messageTypes.usageTaken) {
-			const taken = decodeUsageTaken(row);
-			return (listener) => listener.usageTaken(taken);
+		if (type === messageTypes.usageAck) {
+			const taken = decodeUsageAck(row);
+			return (listener) => listener.onUsageAck(taken);
 		}
-		if (type === messageTypes.permitAsk) {
-			const ask = decodePermitAsk(row);
-			return (listener) => listener.permitAsk(ask);
+		if (type === messageTypes.permitRequest) {
+			const ask = decodePermitRequest(row);
+			return (listener) => listener.onPermitRequest(ask);
 		}
-		if (type === messageTypes.permitAnswer) {
-			const answer = decodePermitAnswer(row);
-			return (listener) => listener.permitAnswer(answer);
+		if (type === messageTypes.permitResponse) {
+			const answer = decodePermitResponse(row);
+			return (listener) => listener.onPermitResponse(answer);
 		}
-		const news = decodeNews(type, row);
-		return (listener) => listener.news(news);
+		const news = decodeGossip(type, row);
+		return (listener) => listener.onGossip(news);
 	} catch {
 		// Not MessagePack, or a field of another type; the first such datagram is logged.
 		return undefined;
@@ -142,16 +142,16 @@
 }
 
 /** @returns the news in a datagram; undefined when it holds none */
-export function newsIn(datagram: Uint8Array): GossipMessage | undefined {
+export function decodeGossipDatagram(datagram: Uint8Array): GossipMessage | undefined {
 	let found: GossipMessage | undefined;
-	hand(datagram, {
-		news: (news) => {
+	dispatchDatagram(datagram, {
+		onGossip: (news) => {
 			found = news;
 		},
-		usage: () => {},
-		usageTaken: () => {},
-		permitAsk: () => {},
-		permitAnswer: () => {},
+		onUsage: () => {},
+		onUsageAck: () => {},
+		onPermitRequest: () => {},
+		onPermitResponse: () => {},
 	});
 	return found;
 }
--- a/src/infra/relay/peer-transfers.ts
+++ b/src/infra/relay/peer-transfers.ts
@@ -29,7 +29,7 @@
 export interface PeerTransfersOptions {
 	log: Log;
 	/** What a path and query names; undefined for what this VM does not have. */
-	textOf: (target: string) => string | undefined;
+	getDocument: (target: string) => string | undefined;
 }
 
 export class PeerTransfers {
@@ -101,7 +101,7 @@
 	}
 
 	private serve(req: http.IncomingMessage, res: http.ServerResponse): void {
-		const text = this.opts.textOf(req.url ?? '');
+		const text = this.opts.getDocument(req.url ?? '');
 		if (text === undefined) {
 			res.writeHead(404).end();
 			return;
--- a/src/infra/relay/prometheus-metrics.ts
+++ b/src/infra/relay/prometheus-metrics.ts
@@ -14,25 +14,25 @@
 /** Figures that are read when they are asked for. */
 export interface RelayGauges {
 	/** Requests that have not ended. */
-	open: () => number;
+	openRequests: () => number;
 	/** VMs heard of lately, this one included. */
-	peers: () => number;
+	liveVms: () => number;
 	configurationVersion: () => number;
 	storeCalls: () => number;
 	/** 1 while the store answers. */
 	storeReachable: () => number;
 	logLinesDropped: () => number;
-	duties: () => DutyFigures;
+	duties: () => DutyStats;
 	/** What work is estimated to cost, by service. */
-	costs: () => readonly CostSample[];
+	costEstimates: () => readonly CostSample[];
 	/** Engines that name a limit now. */
-	limited: () => number;
+	limitedEngines: () => number;
 	/** Contents that are kept from engines because engines ended under them. */
-	quarantined: () => number;
+	quarantinedContents: () => number;
 }
 
 /** What this VM does for the whole fleet. */
-export interface DutyFigures {
+export interface DutyStats {
 	/** Fencing token; 0 while it holds no duty. */
 	token: number;
 	/** Since the start: windows whose counts the platform took in time, and too late; orders that it took. */
@@ -43,7 +43,7 @@
 
 export interface CostSample {
 	service: string;
-	figures: CostEstimates;
+	estimates: CostEstimates;
 	/** How many times as long as usual the slowest engine takes. */
 	slowestPace: number;
 }
@@ -92,8 +92,8 @@
 	);
 
 	constructor(gauges: RelayGauges) {
-		this.gauge('slategauge_open_requests', 'Requests that have not ended', gauges.open);
-		this.gauge('slategauge_fleet_vms', 'VMs heard of in the last second', gauges.peers);
+		this.gauge('slategauge_open_requests', 'Requests that have not ended', gauges.openRequests);
+		this.gauge('slategauge_fleet_vms', 'VMs heard of in the last second', gauges.liveVms);
 		this.gauge(
 			'slategauge_configuration_version',
 			'Version in force; 0 before the first',
@@ -102,7 +102,7 @@
 		this.gauge(
 			'slategauge_limited_engines',
 			'Engines that name how many requests a second they take',
-			gauges.limited,
+			gauges.limitedEngines,
 		);
 		this.gauge('slategauge_store_calls', 'Calls to the store since the start', gauges.storeCalls);
 		this.gauge(
@@ -143,7 +143,7 @@
 		this.gauge(
 			'slategauge_quarantined_contents',
 			'Contents of requests that are kept from engines because engines ended under them',
-			gauges.quarantined,
+			gauges.quarantinedContents,
 		);
 		this.costGauge(
 			gauges,
@@ -190,7 +190,7 @@
 		this.retriedTotal.inc({ service });
 	}
 
-	storeRestored(): void {
+	recordStoreRestored(): void {
 		this.restoredTotal.inc();
 	}
 
@@ -206,7 +206,7 @@
 	 * The daemon's own timer fired so much late, in milliseconds. A monitor of the runtime's would wake the process 50 times a
 	 * second for it; no gain in processor time was measured.
 	 */
-	delayed(ms: number): void {
+	recordEventLoopDelay(ms: number): void {
 		this.delayMs = Math.max(this.delayMs, ms);
 	}
 
@@ -233,7 +233,7 @@
 		figure: keyof CostEstimates,
 	): void {
 		const help = `${what}, as estimated, by service`;
-		this.serviceGauge(gauges, name, help, ({ figures }) => figures[figure] / 1000);
+		this.serviceGauge(gauges, name, help, ({ estimates: figures }) => figures[figure] / 1000);
 	}
 
 	private serviceGauge(
@@ -248,7 +248,7 @@
 			labelNames: ['service'],
 			registers: [this.registry],
 			collect() {
-				for (const sample of gauges.costs()) {
+				for (const sample of gauges.costEstimates()) {
 					this.set({ service: sample.service }, read(sample));
 				}
 			},
--- a/src/infra/relay/callers-front.ts
+++ b/src/infra/relay/relay-http-server.ts
@@ -30,23 +30,23 @@
 	body: Buffer,
 ) => CallerRequest | undefined;
 
-export interface CallersFrontOptions {
+export interface RelayHttpServerOptions {
 	clock: Clock;
 	log: Log;
 	decode: RequestDecoder;
 	/** Whether the loop is so late that callers may have left meanwhile. */
-	isLate: () => boolean;
+	isEventLoopLagging: () => boolean;
 	handle: (req: CallerRequest, res: CallerResponse) => void;
 }
 
-export class CallersFront {
+export class RelayHttpServer {
 	readonly server: http.Server;
 	private limits = firstLimits;
 	private heldBytes = 0;
 	private stopping = false;
 	private inFlight = 0;
 
-	constructor(private readonly opts: CallersFrontOptions) {
+	constructor(private readonly opts: RelayHttpServerOptions) {
 		this.server = http.createServer(
 			{
 				maxHeaderSize: maxHeadBytes,
@@ -62,7 +62,7 @@
 	}
 
 	/** Requests whose answer has not ended. */
-	get open(): number {
+	get openRequests(): number {
 		return this.inFlight;
 	}
 
@@ -73,12 +73,12 @@
 	}
 
 	/** From now on each answer is the last on its connection. */
-	stopKeeping(): void {
+	disableKeepAlive(): void {
 		this.stopping = true;
 	}
 
 	/** Closes connections that carry no request. */
-	closeIdle(): void {
+	closeIdleConnections(): void {
 		this.server.closeIdleConnections();
 	}
 
@@ -141,7 +141,7 @@
 	 * the loop, so the request is handed on in the one after.
 	 */
 	private whenStillThere(req: http.IncomingMessage, handOn: () => void): void {
-		if (!this.opts.isLate()) {
+		if (!this.opts.isEventLoopLagging()) {
 			handOn();
 			return;
 		}
--- a/src/infra/relay/row-reader.ts
+++ b/src/infra/relay/row-reader.ts
@@ -36,7 +36,7 @@
 		return this.number() / 1000;
 	}
 
-	text(): string {
+	string(): string {
 		const value = this.row[this.at++];
 		if (typeof value !== 'string') {
 			throw new RowError('a text');
@@ -44,7 +44,7 @@
 		return value;
 	}
 
-	flag(): boolean {
+	boolean(): boolean {
 		const value = this.row[this.at++];
 		if (typeof value !== 'boolean') {
 			throw new RowError('a flag');
@@ -84,12 +84,12 @@
 	}
 
 	/** One row. */
-	one<T>(read: (row: RowReader) => T): T {
+	nested<T>(read: (row: RowReader) => T): T {
 		return read(new RowReader(this.row[this.at++]));
 	}
 
 	/** @throws RowError when fields are left */
-	end(): void {
+	expectEnd(): void {
 		if (this.at !== this.row.length) {
 			throw new RowError(`${this.at} fields`);
 		}
--- a/src/infra/relay/usage-codec.ts
+++ b/src/infra/relay/usage-codec.ts
@@ -4,7 +4,7 @@
  */
 import * as msgpack from '@msgpack/msgpack';
 import type { UsageAck, UsageCounts } from '../../core/duties/types.js';
-import { messageFormat, messageTypes } from './message-types.js';
+import { messageTypes, wireFormatVersion } from './message-types.js';
 import type { RowReader } from './row-reader.js';
 
 /** Stands for a time that is not known. */
@@ -12,7 +12,7 @@
 
 export function encodeUsage(usage: UsageCounts): Uint8Array {
 	return msgpack.encode([
-		messageFormat,
+		wireFormatVersion,
 		messageTypes.usage,
 		usage.vm,
 		usage.incarnation,
@@ -28,28 +28,35 @@
 /** @throws RowError when the row behind the type is none of counts */
 export function decodeUsage(row: RowReader): UsageCounts {
 	const usage: UsageCounts = {
-		vm: row.text(),
+		vm: row.string(),
 		incarnation: row.number(),
-		address: row.text(),
+		address: row.string(),
 		sentAt: row.number(),
 		window: row.number(),
 		total: row.number(),
-		isFinal: row.flag(),
-		counts: row.rows((item) => ({ customer: item.text(), started: item.number() })),
+		isFinal: row.boolean(),
+		counts: row.rows((item) => ({ customer: item.string(), started: item.number() })),
 	};
-	row.end();
+	row.expectEnd();
 	return usage;
 }
 
-export function encodeUsageTaken({ incarnation, window, total, time }: UsageAck): Uint8Array {
+export function encodeUsageAck({ incarnation, window, total, time }: UsageAck): Uint8Array {
 	const sent = time === undefined ? noTime : Math.round(time);
-	return msgpack.encode([messageFormat, messageTypes.usageTaken, incarnation, window, total, sent]);
+	return msgpack.encode([
+		wireFormatVersion,
+		messageTypes.usageAck,
+		incarnation,
+		window,
+		total,
+		sent,
+	]);
 }
 
 /** @throws RowError when the row behind the type is no such word */
-export function decodeUsageTaken(row: RowReader): UsageAck {
+export function decodeUsageAck(row: RowReader): UsageAck {
 	const taken = { incarnation: row.number(), window: row.number(), total: row.number() };
 	const time = row.number();
-	row.end();
+	row.expectEnd();
 	return { ...taken, time: time === noTime ? undefined : time };
 }
--- a/test/steps/engine-costs.steps.ts
+++ b/test/steps/engine-costs.steps.ts
@@ -5,8 +5,8 @@
 import * as assert from 'node:assert/strict';
 import * as cucumber from '@cucumber/cucumber';
 import { CostModel } from '../../src/core/engines/cost-model.js';
-import { encodeNews } from '../../src/infra/relay/news-codec.js';
-import { newsIn } from '../../src/infra/relay/peer-datagrams.js';
+import { encodeGossip } from '../../src/infra/relay/gossip-codec.js';
+import { decodeGossipDatagram } from '../../src/infra/relay/peer-datagram-socket.js';
 import { BatchEngine } from '../stand-ins/batch-engine.js';
 import { observedRequest } from './observed-request.js';
 import { gossipMessage, seededRandom, seen } from './relay-fakes.js';
@@ -116,7 +116,7 @@
 cucumber.When('another VM starts and merges the gossip of the first', function (this: FleetWorld) {
 	const gossip = gossipMessage({ costs: seen<CostModel>(this, 'model').export([]) });
 	const other = new CostModel();
-	other.merge('vm-1', newsIn(encodeNews(gossip))?.costs ?? []);
+	other.merge('vm-1', decodeGossipDatagram(encodeGossip(gossip))?.costs ?? []);
 	this.seen.set('other', other);
 });
 
--- a/test/steps/engine-speeds.steps.ts
+++ b/test/steps/engine-speeds.steps.ts
@@ -6,7 +6,7 @@
 import * as cucumber from '@cucumber/cucumber';
 import { CostModel } from '../../src/core/engines/cost-model.js';
 import type { Pace } from '../../src/core/engines/engine-pace.js';
-import { encodeNews } from '../../src/infra/relay/news-codec.js';
+import { encodeGossip } from '../../src/infra/relay/gossip-codec.js';
 import type { BurstOptions } from './burst-replay.js';
 import { BurstReplay } from './burst-replay.js';
 import { gossipMessage, seededRandom, seen } from './relay-fakes.js';
@@ -237,7 +237,7 @@
 	function (this: FleetWorld, max: number) {
 		const speeds = seen<CostModel>(this, 'model').paces.export([], 2000, 24);
 		const bytes =
-			encodeNews(gossipMessage({ speeds })).length - encodeNews(gossipMessage({})).length;
+			encodeGossip(gossipMessage({ speeds })).length - encodeGossip(gossipMessage({})).length;
 		assert.ok(bytes <= max, `${bytes}`);
 	},
 );
--- a/test/steps/relay-fleet.steps.ts
+++ b/test/steps/relay-fleet.steps.ts
@@ -21,9 +21,9 @@
 import { StoreError, storeFailures } from '../../src/core/store/definitions.js';
 import { PrefixFollower } from '../../src/core/store/prefix-follower.js';
 import { revisionIn } from '../../src/core/store/revisions.js';
-import { encodePermitAsk } from '../../src/infra/relay/limit-codec.js';
-import { encodeNews } from '../../src/infra/relay/news-codec.js';
-import * as datagrams from '../../src/infra/relay/peer-datagrams.js';
+import { encodeGossip } from '../../src/infra/relay/gossip-codec.js';
+import { encodePermitRequest } from '../../src/infra/relay/limit-codec.js';
+import * as datagrams from '../../src/infra/relay/peer-datagram-socket.js';
 import * as platform from '../../src/platform/index.js';
 import {
 	clockOf,
@@ -483,28 +483,28 @@
 
 cucumber.Then('they are the same after encoding and decoding', function (this: FleetWorld) {
 	const message = seen<GossipMessage>(this, 'message');
-	assert.deepEqual(datagrams.newsIn(encodeNews(message)), message);
+	assert.deepEqual(datagrams.decodeGossipDatagram(encodeGossip(message)), message);
 });
 
 cucumber.Then('a closed sender of datagrams passes over them', async function (this: FleetWorld) {
-	const sender = new datagrams.PeerDatagrams(silentLog, noListener);
+	const sender = new datagrams.PeerDatagramSocket(silentLog, noListener);
 	await sender.bind({ host: '127.0.0.1', port: 0 });
 	sender.close();
-	sender.sendNews([{ host: '127.0.0.1', port: 9 }], seen<GossipMessage>(this, 'message'));
+	sender.sendGossip([{ host: '127.0.0.1', port: 9 }], seen<GossipMessage>(this, 'message'));
 });
 
 const noListener: datagrams.PeerListener = {
-	news() {},
-	usage() {},
-	usageTaken() {},
-	permitAsk() {},
-	permitAnswer() {},
+	onGossip() {},
+	onUsage() {},
+	onUsageAck() {},
+	onPermitRequest() {},
+	onPermitResponse() {},
 };
 
 cucumber.Then('{int} random datagrams are refused without an error', (count: number) => {
 	const bytes = fc.uint8Array({ maxLength: 200 });
 	fc.assert(
-		fc.property(bytes, (datagram) => !datagrams.hand(datagram, noListener)),
+		fc.property(bytes, (datagram) => !datagrams.dispatchDatagram(datagram, noListener)),
 		{ numRuns: count, seed: 1 },
 	);
 });
@@ -530,10 +530,10 @@
 cucumber.Then(
 	'a datagram of them with any field of another type is refused',
 	function (this: FleetWorld) {
-		const row = msgpack.decode(encodeNews(seen<GossipMessage>(this, 'message'))) as unknown[];
+		const row = msgpack.decode(encodeGossip(seen<GossipMessage>(this, 'message'))) as unknown[];
 		for (const path of pathsOf(row)) {
 			const bytes = msgpack.encode(replaceValue(row, path, { of: 'another type' }));
-			assert.equal(datagrams.hand(bytes, noListener), false, path.join('.'));
+			assert.equal(datagrams.dispatchDatagram(bytes, noListener), false, path.join('.'));
 		}
 	},
 );
@@ -543,12 +543,12 @@
 	function (this: FleetWorld, field: string, value: string) {
 		const limit = { engine: 1, limitPerS: 3, version: 1 };
 		const valid = { from: '10.0.0.1:7000', id: 1, limit, urgency: 0, waitMs: 30 };
-		assert.ok(datagrams.hand(encodePermitAsk(valid), noListener));
+		assert.ok(datagrams.dispatchDatagram(encodePermitRequest(valid), noListener));
 		const part = { [field]: field === 'from' ? value : Number(value) };
-		this.seen.set('datagram', encodePermitAsk({ ...valid, ...part }));
+		this.seen.set('datagram', encodePermitRequest({ ...valid, ...part }));
 	},
 );
 
 cucumber.Then('the datagram is refused', function (this: FleetWorld) {
-	assert.equal(datagrams.hand(seen<Uint8Array>(this, 'datagram'), noListener), false);
+	assert.equal(datagrams.dispatchDatagram(seen<Uint8Array>(this, 'datagram'), noListener), false);
 });
--- a/test/steps/callers-front.steps.ts
+++ b/test/steps/relay-http-server.steps.ts
@@ -7,7 +7,7 @@
 import * as net from 'node:net';
 import * as cucumber from '@cucumber/cucumber';
 import type { CallerRequest, CallerResponse } from '../../src/core/relay/definitions.js';
-import { CallersFront } from '../../src/infra/relay/callers-front.js';
+import { RelayHttpServer } from '../../src/infra/relay/relay-http-server.js';
 import { SystemClock } from '../../src/infra/system-clock.js';
 import * as platform from '../../src/platform/index.js';
 import { seen } from './relay-fakes.js';
@@ -52,7 +52,13 @@
 		};
 		const clock = new SystemClock();
 		const decode = platform.decodeRequest;
-		const front = new CallersFront({ clock, log, decode, isLate: () => false, handle });
+		const front = new RelayHttpServer({
+			clock,
+			log,
+			decode,
+			isEventLoopLagging: () => false,
+			handle,
+		});
 		await new Promise<void>((done) => front.server.listen(0, '127.0.0.1', done));
 		this.seen.set('front', front);
 		this.seen.set('writers', writers);
@@ -63,7 +69,7 @@
 cucumber.When(
 	'a caller asks for {string} by HTTP {word} and reads once {int} answers wait for it',
 	async function (this: FleetWorld, paths: string, version: string, waiting: number) {
-		const { server } = seen<CallersFront>(this, 'front');
+		const { server } = seen<RelayHttpServer>(this, 'front');
 		const writers = seen<PieceWriter[]>(this, 'writers');
 		const socket = net.connect((server.address() as AddressInfo).port, '127.0.0.1');
 		socket.pause();
--- a/test/steps/relay-transfers.steps.ts
+++ b/test/steps/relay-transfers.steps.ts
@@ -6,8 +6,8 @@
 import * as net from 'node:net';
 import * as cucumber from '@cucumber/cucumber';
 import type { CallerRequest } from '../../src/core/relay/definitions.js';
-import { CallersFront } from '../../src/infra/relay/callers-front.js';
 import { PeerTransfers } from '../../src/infra/relay/peer-transfers.js';
+import { RelayHttpServer } from '../../src/infra/relay/relay-http-server.js';
 import { clockOf, seededRandom, seen, silentLog } from './relay-fakes.js';
 import type { FleetWorld } from './world.js';
 
@@ -44,7 +44,7 @@
 }
 
 function newTransfers(world: FleetWorld, text?: string): PeerTransfers {
-	const transfers = new PeerTransfers({ log: silentLog, textOf: () => text });
+	const transfers = new PeerTransfers({ log: silentLog, getDocument: () => text });
 	closeLater(world, () => transfers.close());
 	return transfers;
 }
@@ -151,11 +151,11 @@
 
 cucumber.Given('a front for callers', async function (this: FleetWorld) {
 	const handed: string[] = [];
-	const front = new CallersFront({
+	const front = new RelayHttpServer({
 		clock: clockOf(this),
 		log: silentLog,
 		decode: ({ target }) => ({ target }) as CallerRequest,
-		isLate: () => true,
+		isEventLoopLagging: () => true,
 		handle: ({ target }, res) => {
 			handed.push(target);
 			res.writeHead(200, ['Content-Length', '0']);
--- a/test/steps/simulated-fleet.ts
+++ b/test/steps/simulated-fleet.ts
@@ -14,9 +14,9 @@
 import { issuerRank } from '../../src/core/limits/issuer-election.js';
 import { Quarantine } from '../../src/core/quarantine/quarantine.js';
 import type { HostPort } from '../../src/core/relay/settings.js';
-import { encodePermitAnswer, encodePermitAsk } from '../../src/infra/relay/limit-codec.js';
-import { encodeNews } from '../../src/infra/relay/news-codec.js';
-import { hand } from '../../src/infra/relay/peer-datagrams.js';
+import { encodeGossip } from '../../src/infra/relay/gossip-codec.js';
+import { encodePermitRequest, encodePermitResponse } from '../../src/infra/relay/limit-codec.js';
+import { dispatchDatagram } from '../../src/infra/relay/peer-datagram-socket.js';
 import { ManualClock, seededRandom, silentLog } from './relay-fakes.js';
 
 const stepMs = 5;
@@ -100,8 +100,8 @@
 			getRank: (without) => issuerRank(registration, others(), without),
 			heardVms: () => fleet.size,
 			vms: () => this.vms.length,
-			sendPermitRequest: (to, ask) => this.sendBytes(vm, to, encodePermitAsk(ask)),
-			sendPermitResponse: (to, answer) => this.sendBytes(vm, to, encodePermitAnswer(answer)),
+			sendPermitRequest: (to, ask) => this.sendBytes(vm, to, encodePermitRequest(ask)),
+			sendPermitResponse: (to, answer) => this.sendBytes(vm, to, encodePermitResponse(answer)),
 			onNews: () => vm.exchange?.markChanged(),
 			onDueChanged() {},
 		});
@@ -213,7 +213,7 @@
 	}
 
 	private send(from: SimulatedVm, to: readonly HostPort[], message: GossipMessage): void {
-		const bytes = encodeNews(message);
+		const bytes = encodeGossip(message);
 		if (bytes.length > maxPayloadBytes) {
 			throw new Error(
 				`datagram of kind ${message.kind} has ${bytes.length} bytes, more than ${maxPayloadBytes}`,
@@ -242,12 +242,12 @@
 			const isPartitioned = vm?.side !== this.byAddress.get(from)?.side;
 			if (vm?.isRunning && !isPartitioned) {
 				vm.received++;
-				hand(bytes, {
-					news: (message) => vm.exchange.receive(message),
-					usage() {},
-					usageTaken() {},
-					permitAsk: (ask) => vm.limits.handlePermitRequest(ask),
-					permitAnswer: (answer) => vm.limits.handlePermitResponse(answer),
+				dispatchDatagram(bytes, {
+					onGossip: (message) => vm.exchange.receive(message),
+					onUsage() {},
+					onUsageAck() {},
+					onPermitRequest: (ask) => vm.limits.handlePermitRequest(ask),
+					onPermitResponse: (answer) => vm.limits.handlePermitResponse(answer),
 				});
 			}
 		}
