--- a/src/infra/relay/engine-connection-pool.ts
+++ b/src/infra/relay/engine-connection-pool.ts
@@ -1,47 +1,45 @@
 /**
- * Connections to one engine by undici: one request at a time on each, kept between requests. Most VMs send an engine few requests, so
- * what a connection and a request on it cost counts from the first one on.
+ * Pool of undici connections to one engine, with one request at a time on each.
  * @module
  */
 import * as net from 'node:net';
 import * as undici from 'undici';
 
-/** A connection between VMs comes up in 2 to 4 ms; one that takes longer is likely dead. */
 export const connectTimeoutMs = 400;
-/** Unused connections are closed after this time unless the engine names another, in milliseconds. */
-const idleMs = 4000;
-/** Longest time that an engine's own word keeps an unused connection, in milliseconds. */
-const maxIdleMs = 60_000;
-/** Closed so long before the engine would close it, in milliseconds. */
-const idleMarginMs = 500;
-/** Bytes of an answer that wait for a caller who reads slowly, before the engine is held back. */
-const unreadBytes = 64 * 1024;
-
-/** Code of the errors with which undici closes a connection that it no longer needs. */
-const ownClose = 'UND_ERR_INFO';
-/** An empty line between two requests; servers pass over it (RFC 9112, section 2.2). */
+/** Idle connections are closed after this time unless the engine's keep-alive header names another. */
+const defaultIdleTimeoutMs = 4000;
+/** Upper bound for the keep-alive time that an engine names. */
+const maxIdleTimeoutMs = 60_000;
+/** Idle connections are closed this long before the engine would close them. */
+const idleTimeoutMarginMs = 500;
+/** Bytes of an answer that are buffered for a slow caller before the engine is throttled. */
+const receiveBufferBytes = 64 * 1024;
+
+/** Error code that undici uses to close a connection that it no longer needs. */
+const clientCloseCode = 'UND_ERR_INFO';
+/** Servers ignore an empty line before a request (RFC 9112, section 2.2). */
 const emptyLine = '\r\n';
 
-/** One connection; it remembers whether it broke, since undici takes a reset for the end of an answer that has no length. */
+/** Connection to an engine. Detects resets, which undici reports as the end of an answer without a length. */
 export class EngineConnection {
-	/** It ended by an error, not by the engine's orderly close. */
+	/** Whether the connection failed rather than being closed by the engine. */
 	isBroken = false;
-	/** Settles once it is known how the connection ended. */
+	/** Resolves once `isBroken` is final; undefined until the engine ends the connection. */
 	resetChecked?: Promise<void>;
 	private readonly client: undici.Client;
 
-	/** @param onLost it was closed, by whomever */
+	/** @param onClose called when either side has closed the connection */
 	constructor(
 		private readonly origin: URL,
-		private readonly onLost: (connection: EngineConnection) => void,
+		private readonly onClose: (connection: EngineConnection) => void,
 	) {
 		this.client = new undici.Client(origin, {
 			connect: (_, callback) => this.connect(callback),
 			headersTimeout: 0,
 			bodyTimeout: 0,
-			keepAliveTimeout: idleMs,
-			keepAliveMaxTimeout: maxIdleMs,
-			keepAliveTimeoutThreshold: idleMarginMs,
+			keepAliveTimeout: defaultIdleTimeoutMs,
+			keepAliveMaxTimeout: maxIdleTimeoutMs,
+			keepAliveTimeoutThreshold: idleTimeoutMarginMs,
 		});
 	}
 
@@ -52,12 +50,12 @@
 		this.client.dispatch(opts, handler);
 	}
 
-	/** Closes it at once. */
+	/** Closes the connection at once and fails its call. */
 	destroy(): Promise<void> {
 		return this.client.destroy();
 	}
 
-	/** Closes it once its call has ended. */
+	/** Closes the connection once its call has ended. */
 	close(): Promise<void> {
 		return this.client.close();
 	}
@@ -70,9 +68,12 @@
 			host,
 			port: Number(port),
 			noDelay: true,
-			highWaterMark: unreadBytes,
+			highWaterMark: receiveBufferBytes,
 		} as net.TcpNetConnectOpts);
-		const timer = setTimeout(() => socket.destroy(new Error('connect time-out')), connectTimeoutMs);
+		const timer = setTimeout(
+			() => socket.destroy(new Error('connection timed out')),
+			connectTimeoutMs,
+		);
 		let isSettled = false;
 		socket.once('connect', () => {
 			isSettled = true;
@@ -80,42 +81,40 @@
 			callback(null, socket);
 		});
 		socket.on('error', (err: NodeJS.ErrnoException) => {
-			this.isBroken ||= err.code !== ownClose;
+			this.isBroken ||= err.code !== clientCloseCode;
 			if (!isSettled) {
 				isSettled = true;
 				clearTimeout(timer);
 				callback(err, null);
 			}
 		});
-		socket.prependListener('end', () => this.watchEnd(socket));
-		socket.on('close', () => this.onLost(this));
+		socket.prependListener('end', () => this.detectReset(socket));
+		socket.on('close', () => this.onClose(this));
 	}
 
 	/**
-	 * Learns how the connection ends. A reset that comes together with the last bytes is read as an
-	 * orderly end: the event loop takes the hang-up for the end of the stream without asking for the
-	 * error behind it. Writing asks: it fails after a reset and succeeds after an orderly end.
+	 * Tells a reset from an orderly end. Node reports a reset that arrives with the last bytes as the end
+	 * of the stream; a write fails after a reset and succeeds after an orderly end.
 	 */
-	private watchEnd(socket: net.Socket): void {
-		this.resetChecked = new Promise((done) => {
+	private detectReset(socket: net.Socket): void {
+		this.resetChecked = new Promise((resolve) => {
 			socket.write(emptyLine, (err) => {
 				const { code } = (err ?? {}) as NodeJS.ErrnoException;
 				this.isBroken ||= code === 'EPIPE' || code === 'ECONNRESET';
-				done();
+				resolve();
 			});
 		});
 	}
 }
 
-/** All connections to one engine. */
 export class EngineConnectionPool {
 	private readonly origin: URL;
-	/** Those that carry no call, the last one used at the end. */
+	/** Connections without a call, most recently used last. */
 	private readonly idle: EngineConnection[] = [];
 	private readonly busy = new Set<EngineConnection>();
 	private isClosed = false;
 
-	/** @param address IP:PORT */
+	/** @param address as IP:PORT */
 	constructor(address: string) {
 		this.origin = new URL(`http://${address}`);
 	}
@@ -124,15 +123,15 @@
 		return this.idle.length > 0;
 	}
 
-	/** A connection for one call, open or about to be. */
+	/** Returns an idle connection, or a new one that opens with its first call. */
 	acquire(): EngineConnection {
 		const connection =
-			this.idle.pop() ?? new EngineConnection(this.origin, (lost) => this.lost(lost));
+			this.idle.pop() ?? new EngineConnection(this.origin, (closed) => this.removeIdle(closed));
 		this.busy.add(connection);
 		return connection;
 	}
 
-	/** Its call was answered whole: the next one may use it. */
+	/** Returns a connection to the pool after a complete answer. */
 	release(connection: EngineConnection): void {
 		this.busy.delete(connection);
 		if (this.isClosed) {
@@ -142,14 +141,14 @@
 		}
 	}
 
-	/** Its call broke, or is no longer wanted: it is not used again. */
+	/** Closes a connection whose call failed or was aborted. */
 	discard(connection: EngineConnection): void {
 		this.busy.delete(connection);
-		// Not from inside undici's own handling of the call.
+		// Deferred, since undici may be handling the call.
 		setImmediate(() => connection.destroy());
 	}
 
-	/** Calls that run may end; unused connections are closed at once. */
+	/** Closes idle connections at once and the others when their calls end. */
 	close(): void {
 		this.isClosed = true;
 		for (const connection of this.idle.splice(0)) {
@@ -159,13 +158,15 @@
 
 	async destroy(): Promise<void> {
 		this.isClosed = true;
-		await Promise.all([...this.idle.splice(0), ...this.busy].map((one) => one.destroy()));
+		await Promise.all(
+			[...this.idle.splice(0), ...this.busy].map((connection) => connection.destroy()),
+		);
 	}
 
-	private lost(connection: EngineConnection): void {
-		const at = this.idle.indexOf(connection);
-		if (at >= 0) {
-			this.idle.splice(at, 1);
+	private removeIdle(connection: EngineConnection): void {
+		const index = this.idle.indexOf(connection);
+		if (index >= 0) {
+			this.idle.splice(index, 1);
 		}
 	}
 }
--- a/src/infra/relay/engine-transport.ts
+++ b/src/infra/relay/engine-transport.ts
@@ -1,5 +1,5 @@
 /**
- * Sends calls to engines by undici.
+ * Sends calls to engines with undici.
  * @module
  */
 import * as net from 'node:net';
@@ -15,23 +15,23 @@
 import type { EngineConnection } from './engine-connection-pool.js';
 import { connectTimeoutMs, EngineConnectionPool } from './engine-connection-pool.js';
 
-/** Code of the error when nothing listens at a port. */
-const refusedCode = 'ECONNREFUSED';
+const connectionRefusedCode = 'ECONNREFUSED';
 
-/** Translates heads; belongs to the adapter of the platform. */
+/** Encodes heads of calls and decodes heads of answers, as defined by the platform adapter. */
 export interface HeadCodec {
 	encodeCall(call: EngineCall): RawHeaders;
 	decodeAnswer(status: number, rawHeaders: RawHeaders): AnswerHead;
 }
 
 export class UndiciEngineTransport implements EngineTransport {
-	private readonly engines = new Map<string, EngineConnectionPool>();
+	/** By the engine's address. */
+	private readonly pools = new Map<string, EngineConnectionPool>();
 
 	constructor(private readonly codec: HeadCodec) {}
 
 	send(call: EngineCall, listener: AnswerListener): RunningCall {
 		const { address, req } = call;
-		const running = new EngineRunningCall(this.codec, listener, this.connectionsTo(address));
+		const running = new EngineRunningCall(this.codec, listener, this.poolFor(address));
 		running.start({
 			method: req.method as undici.Dispatcher.HttpMethod,
 			path: req.target,
@@ -42,45 +42,45 @@
 	}
 
 	hasIdleConnection(address: string): boolean {
-		return this.engines.get(address)?.hasIdle === true;
+		return this.pools.get(address)?.hasIdle === true;
 	}
 
 	isPortClosed(address: string): Promise<boolean> {
 		const [host, port] = address.split(':');
-		return new Promise((done) => {
+		return new Promise((resolve) => {
 			const socket = net.connect({ host, port: Number(port), timeout: connectTimeoutMs });
 			const end = (isRefused: boolean) => {
 				socket.destroy();
-				done(isRefused);
+				resolve(isRefused);
 			};
 			socket.on('connect', () => end(false));
 			socket.on('timeout', () => end(false));
-			socket.on('error', (err: NodeJS.ErrnoException) => end(err.code === refusedCode));
+			socket.on('error', (err: NodeJS.ErrnoException) => end(err.code === connectionRefusedCode));
 		});
 	}
 
 	closeIdleConnections(address: string): void {
-		this.engines.get(address)?.close();
-		this.engines.delete(address);
+		this.pools.get(address)?.close();
+		this.pools.delete(address);
 	}
 
 	async close(): Promise<void> {
-		await Promise.all([...this.engines.values()].map((engine) => engine.destroy()));
+		await Promise.all([...this.pools.values()].map((pool) => pool.destroy()));
 	}
 
-	private connectionsTo(address: string): EngineConnectionPool {
-		let engine = this.engines.get(address);
-		if (!engine) {
-			engine = new EngineConnectionPool(address);
-			this.engines.set(address, engine);
+	private poolFor(address: string): EngineConnectionPool {
+		let pool = this.pools.get(address);
+		if (!pool) {
+			pool = new EngineConnectionPool(address);
+			this.pools.set(address, pool);
 		}
-		return engine;
+		return pool;
 	}
 }
 
 /**
- * One call. It takes undici's answers in the form of its own core: the newer one wraps this one, and reads all headers a second time
- * into a table that nothing here needs.
+ * One call to an engine. Uses undici's legacy handler methods: the newer ones wrap them and parse all
+ * headers a second time.
  */
 class EngineRunningCall implements undici.Dispatcher.DispatchHandler, RunningCall {
 	private readonly connection: EngineConnection;
@@ -88,15 +88,15 @@
 	private resumeReading?: () => void;
 	private isPaused = false;
 	private isStarting = true;
-	private framed = true;
-	private done = false;
+	private isFramed = true;
+	private isDone = false;
 
 	constructor(
 		private readonly codec: HeadCodec,
 		private readonly listener: AnswerListener,
-		private readonly engine: EngineConnectionPool,
+		private readonly pool: EngineConnectionPool,
 	) {
-		this.connection = engine.acquire();
+		this.connection = pool.acquire();
 	}
 
 	start(opts: undici.Dispatcher.DispatchOptions): void {
@@ -116,23 +116,23 @@
 	}
 
 	abort(): void {
-		if (!this.done) {
-			this.drop();
-			this.abortCall?.(new Error('no longer wanted'));
+		if (!this.isDone) {
+			this.discard();
+			this.abortCall?.(new Error('call aborted'));
 		}
 	}
 
-	/** undici calls this before it writes the first byte. */
+	/** Called by undici before it writes the first byte. */
 	onConnect(abort: (err?: Error) => void): void {
 		this.abortCall = abort;
-		if (this.done) {
-			abort(new Error('no longer wanted'));
+		if (this.isDone) {
+			abort(new Error('call aborted'));
 			return;
 		}
 		if (!this.listener.shouldSend()) {
-			this.drop();
-			abort(new Error('no longer wanted there'));
-			// Not from inside undici's queue: the request goes to another engine's.
+			this.discard();
+			abort(new Error('call withdrawn before it was sent'));
+			// Deferred, since the listener may dispatch the request to another engine.
 			setImmediate(() => this.listener.onWithdrawn());
 			return;
 		}
@@ -141,27 +141,27 @@
 
 	onHeaders(status: number, rawHeaders: Buffer[], resume: () => void): boolean {
 		this.resumeReading = resume;
-		if (!this.done && status >= 200) {
+		if (!this.isDone && status >= 200) {
 			const headers: RawHeaders = [];
 			for (const value of rawHeaders) {
 				headers.push(value.toString('latin1'));
 			}
 			const head = this.codec.decodeAnswer(status, headers);
-			this.framed = head.isFramed;
+			this.isFramed = head.isFramed;
 			this.listener.onHead(head);
 		}
 		return !this.isPaused;
 	}
 
 	onData(chunk: Buffer): boolean {
-		if (!this.done) {
+		if (!this.isDone) {
 			this.listener.onData(chunk);
 		}
 		return !this.isPaused;
 	}
 
 	onComplete(): void {
-		if (this.framed || !this.connection.resetChecked) {
+		if (this.isFramed || !this.connection.resetChecked) {
 			this.finish();
 			return;
 		}
@@ -173,7 +173,7 @@
 
 	onError(err: Error): void {
 		if (this.isStarting) {
-			// undici refuses heads that it cannot write; nothing left this process.
+			// undici rejects an invalid head inside dispatch(), before anything is sent.
 			setImmediate(() => this.fail(err));
 		} else {
 			this.fail(err);
@@ -181,24 +181,24 @@
 	}
 
 	private finish(): void {
-		if (!this.framed && this.connection.isBroken) {
-			this.fail(new Error('an answer without a length was reset'));
-		} else if (!this.done) {
-			this.done = true;
-			this.engine.release(this.connection);
+		if (!this.isFramed && this.connection.isBroken) {
+			this.fail(new Error('connection reset during an answer without a length'));
+		} else if (!this.isDone) {
+			this.isDone = true;
+			this.pool.release(this.connection);
 			this.listener.onEnd();
 		}
 	}
 
 	private fail(err: NodeJS.ErrnoException): void {
-		if (!this.done) {
-			this.drop();
-			this.listener.onError(err.message, err.code === refusedCode);
+		if (!this.isDone) {
+			this.discard();
+			this.listener.onError(err.message, err.code === connectionRefusedCode);
 		}
 	}
 
-	private drop(): void {
-		this.done = true;
-		this.engine.discard(this.connection);
+	private discard(): void {
+		this.isDone = true;
+		this.pool.discard(this.connection);
 	}
 }
--- a/src/infra/relay/gossip-codec.ts
+++ b/src/infra/relay/gossip-codec.ts
@@ -1,5 +1,5 @@
 /**
- * News between VMs as MessagePack.
+ * Encodes gossip between VMs as MessagePack.
  * @module
  */
 import * as msgpack from '@msgpack/msgpack';
@@ -22,65 +22,61 @@
 import { messageTypes, wireFormatVersion } from './message-types.js';
 import { RowError, type RowReader, toThousandths } from './row-reader.js';
 
-/** Numbers that tell of the work at one engine. */
-const workFields = 3;
-/** Numbers that tell of the last report of one VM. */
-const heardFields = 2;
-/** Numbers that tell of one content at one engine. */
-const crashFields = 3;
-/** Numbers that tell of the speed of one engine. */
-const speedFields = 5;
-/** Weights and means of speeds are told in tenths and hundredths: their own noise is larger. */
+/** Numbers per entry of the flat lists. */
+const workStride = 3;
+const reportAckStride = 2;
+const crashStride = 3;
+const paceStride = 5;
+/** Weights and means of paces are rounded to these units; integers take fewer bytes. */
 const weightUnit = 0.1;
 const meanUnit = 0.01;
-/** In place of a content: the row tells only that the engine ended. */
+/** Stands for the content in reports of an engine that ended without a known content. */
 const noContent = -1;
 
-/** Kinds of news by the type of their message. */
-const kinds: Readonly<Record<number, GossipKind>> = {
+const kindsByType: Readonly<Record<number, GossipKind>> = {
 	[messageTypes.report]: gossipKinds.report,
 	[messageTypes.group]: gossipKinds.group,
 	[messageTypes.fleet]: gossipKinds.fleet,
 };
 
-export function encodeGossip(news: GossipMessage): Uint8Array {
+export function encodeGossip(message: GossipMessage): Uint8Array {
 	return msgpack.encode([
 		wireFormatVersion,
-		messageTypes[news.kind],
-		news.from,
-		news.incarnation,
-		news.seq,
-		news.configurationVersion,
-		news.address,
-		news.isLeaving,
-		Math.round(news.intervalMs),
-		news.vmCount,
-		[news.engines.from, news.engines.to],
-		news.work.flatMap((item) => [item.engine, item.running, Math.round(item.promptTokens)]),
-		news.cacheUpdates.map((item) => [item.segment, item.engine, item.isPrefilled]),
-		[toThousandths(news.demand.long), toThousandths(news.demand.short)],
-		news.storeReaders.map(packReader),
-		news.reportAcks.flatMap((item) => [item.vm, item.seq]),
-		news.costs?.map(packCosts),
-		news.answers?.map(packAnswers),
-		news.crashes.flatMap(packCrash),
-		news.limits.map(packLimit),
-		news.issuer && [packIssuer(news.issuer)],
-		news.speeds?.map(({ service, engines }) => [service, engines.flatMap(packSpeed)]),
+		messageTypes[message.kind],
+		message.from,
+		message.incarnation,
+		message.seq,
+		message.configurationVersion,
+		message.address,
+		message.isLeaving,
+		Math.round(message.intervalMs),
+		message.vmCount,
+		[message.engines.from, message.engines.to],
+		message.work.flatMap((item) => [item.engine, item.running, Math.round(item.promptTokens)]),
+		message.cacheUpdates.map((item) => [item.segment, item.engine, item.isPrefilled]),
+		[toThousandths(message.demand.long), toThousandths(message.demand.short)],
+		message.storeReaders.map(packStoreReader),
+		message.reportAcks.flatMap((item) => [item.vm, item.seq]),
+		message.costs?.map(packCosts),
+		message.answers?.map(packAnswers),
+		message.crashes.flatMap(packCrash),
+		message.limits.map(packLimit),
+		message.issuer && [packIssuer(message.issuer)],
+		message.speeds?.map(({ service, engines }) => [service, engines.flatMap(packEnginePace)]),
 	]);
 }
 
 /**
  * @param type of the message
- * @param row behind its type
- * @throws RowError when the row is no news
+ * @param row the fields after the type
+ * @throws RowError when the message is not valid gossip
  */
 export function decodeGossip(type: number, row: RowReader): GossipMessage {
-	const kind = kinds[type];
+	const kind = kindsByType[type];
 	if (kind === undefined) {
-		throw new RowError('a kind of news');
+		throw new RowError('a known message type');
 	}
-	const news: GossipMessage = {
+	const message: GossipMessage = {
 		kind,
 		from: row.string(),
 		incarnation: row.number(),
@@ -91,44 +87,44 @@
 		intervalMs: row.number(),
 		vmCount: row.number(),
 		engines: row.nested((range) => ({ from: range.number(), to: range.number() })),
-		work: readWork(row.numbers(workFields)),
+		work: readWork(row.numbers(workStride)),
 		cacheUpdates: row.rows((item) => ({
 			segment: item.number(),
 			engine: item.number(),
 			isPrefilled: item.boolean(),
 		})),
 		demand: row.nested((item) => ({ long: item.thousandths(), short: item.thousandths() })),
-		storeReaders: row.rows(readReader),
-		reportAcks: readHeard(row.numbers(heardFields)),
+		storeReaders: row.rows(readStoreReader),
+		reportAcks: readReportAcks(row.numbers(reportAckStride)),
 		costs: row.optionalRows(readCosts),
 		answers: row.optionalRows(readAnswers),
-		crashes: readCrashes(row.numbers(crashFields)),
+		crashes: readCrashes(row.numbers(crashStride)),
 		limits: row.rows(readLimit),
 		issuer: row.optionalRows(readIssuer)?.[0],
-		speeds: row.optionalRows(readSpeeds),
+		speeds: row.optionalRows(readServicePaces),
 	};
 	row.expectEnd();
-	return news;
+	return message;
 }
 
 function readWork(fields: readonly number[]): EngineWork[] {
 	const work: EngineWork[] = [];
-	for (let at = 0; at < fields.length; at += workFields) {
+	for (let index = 0; index < fields.length; index += workStride) {
 		work.push({
-			engine: fields[at] ?? 0,
-			running: fields[at + 1] ?? 0,
-			promptTokens: fields[at + 2] ?? 0,
+			engine: fields[index] ?? 0,
+			running: fields[index + 1] ?? 0,
+			promptTokens: fields[index + 2] ?? 0,
 		});
 	}
 	return work;
 }
 
-function readHeard(fields: readonly number[]): ReportAck[] {
-	const heard: ReportAck[] = [];
-	for (let at = 0; at < fields.length; at += heardFields) {
-		heard.push({ vm: fields[at] ?? 0, seq: fields[at + 1] ?? 0 });
+function readReportAcks(fields: readonly number[]): ReportAck[] {
+	const acks: ReportAck[] = [];
+	for (let index = 0; index < fields.length; index += reportAckStride) {
+		acks.push({ vm: fields[index] ?? 0, seq: fields[index + 1] ?? 0 });
 	}
-	return heard;
+	return acks;
 }
 
 function packCrash({ content, engine, isCleared }: CrashReport): number[] {
@@ -136,52 +132,52 @@
 }
 
 function readCrashes(fields: readonly number[]): CrashReport[] {
-	const rows: CrashReport[] = [];
-	for (let at = 0; at < fields.length; at += crashFields) {
-		const content = fields[at] ?? noContent;
-		rows.push({
+	const reports: CrashReport[] = [];
+	for (let index = 0; index < fields.length; index += crashStride) {
+		const content = fields[index] ?? noContent;
+		reports.push({
 			content: content === noContent ? undefined : content,
-			engine: fields[at + 1] ?? 0,
-			isCleared: fields[at + 2] === 1,
+			engine: fields[index + 1] ?? 0,
+			isCleared: fields[index + 2] === 1,
 		});
 	}
-	return rows;
+	return reports;
 }
 
-function packSpeed({ engine, reading, steps }: EnginePaceSums): number[] {
-	return [engine, ...packPace(reading), ...packPace(steps)];
+function packEnginePace({ engine, reading, steps }: EnginePaceSums): number[] {
+	return [engine, ...packPaceSum(reading), ...packPaceSum(steps)];
 }
 
-function packPace({ weight, sum }: PaceSum): number[] {
+function packPaceSum({ weight, sum }: PaceSum): number[] {
 	return [
 		Math.round(weight / weightUnit),
 		Math.round(sum / Math.max(weight, weightUnit) / meanUnit),
 	];
 }
 
-function readSpeeds(row: RowReader): ServicePaceSums {
+function readServicePaces(row: RowReader): ServicePaceSums {
 	const service = row.number();
-	const fields = row.numbers(speedFields);
+	const fields = row.numbers(paceStride);
 	const engines: EnginePaceSums[] = [];
-	for (let at = 0; at < fields.length; at += speedFields) {
-		const reading = readPace(fields[at + 1], fields[at + 2]);
-		const steps = readPace(fields[at + 3], fields[at + 4]);
-		engines.push({ engine: fields[at] ?? 0, reading, steps });
+	for (let index = 0; index < fields.length; index += paceStride) {
+		const reading = readPaceSum(fields[index + 1], fields[index + 2]);
+		const steps = readPaceSum(fields[index + 3], fields[index + 4]);
+		engines.push({ engine: fields[index] ?? 0, reading, steps });
 	}
 	return { service, engines };
 }
 
-function readPace(weight = 0, mean = 0): PaceSum {
-	const known = weight * weightUnit;
-	return { weight: known, sum: known * mean * meanUnit };
+function readPaceSum(weight = 0, mean = 0): PaceSum {
+	const scaledWeight = weight * weightUnit;
+	return { weight: scaledWeight, sum: scaledWeight * mean * meanUnit };
 }
 
-function packReader(reader: StoreReader): unknown[] {
+function packStoreReader(reader: StoreReader): unknown[] {
 	const { address, contactAgeMs, revision, digest, dutyToken } = reader;
 	return [address, Math.round(contactAgeMs), revision, digest, dutyToken];
 }
 
-function readReader(row: RowReader): StoreReader {
+function readStoreReader(row: RowReader): StoreReader {
 	return {
 		address: row.string(),
 		contactAgeMs: row.number(),
@@ -191,13 +187,8 @@
 	};
 }
 
-function packIssuer({
-	address,
-	term,
-	heartbeatSeq: beat,
-	isResigned,
-}: IssuerAnnouncement): unknown[] {
-	return [address, term, beat, isResigned];
+function packIssuer({ address, term, heartbeatSeq, isResigned }: IssuerAnnouncement): unknown[] {
+	return [address, term, heartbeatSeq, isResigned];
 }
 
 function readIssuer(row: RowReader): IssuerAnnouncement {
@@ -209,7 +200,7 @@
 	};
 }
 
-/** Sums as whole numbers: the weights are fractions, the rest is large. */
+/** Rounds sums to integers, but weights and y to thousandths. */
 function packLine({ weight, x, y, xx, xy }: LineSums): number[] {
 	return [toThousandths(weight), toThousandths(y), Math.round(x), Math.round(xx), Math.round(xy)];
 }
--- a/src/infra/relay/limit-codec.ts
+++ b/src/infra/relay/limit-codec.ts
@@ -1,5 +1,5 @@
 /**
- * Limits of engines and permits between VMs as MessagePack.
+ * Encodes rate limits of engines and permit messages between VMs as MessagePack.
  * @module
  */
 import * as net from 'node:net';
@@ -11,47 +11,46 @@
 import type { RowReader } from './row-reader.js';
 import { RowError, toThousandths } from './row-reader.js';
 
-/** Largest port. */
-const mostPort = 65_535;
+const maxPort = 65_535;
 const urgencies = Array.from({ length: urgencyLevels }, (_, level) => level);
-/** No request waits longer for a permit, in milliseconds: an eighth of the longest targets is far less. */
-const mostWaitMs = 60_000;
-/** In place of requests a second: the engine names no limit. */
+/** Upper bound for the wait that a permit request may name. */
+const maxWaitMs = 60_000;
+/** Stands for the rate of an engine that names no limit. */
 const noLimit = -1;
 
-export function packLimit({ engine, limitPerS: perS, version }: LimitUpdate): number[] {
-	return [engine, perS === undefined ? noLimit : toThousandths(perS), version];
+export function packLimit({ engine, limitPerS, version }: LimitUpdate): number[] {
+	return [engine, limitPerS === undefined ? noLimit : toThousandths(limitPerS), version];
 }
 
-/** @throws RowError when the row is no word on a limit */
+/** @throws RowError when the row is not a limit update */
 export function readLimit(row: RowReader): LimitUpdate {
 	const engine = row.number();
-	const perS = row.thousandths();
-	return { engine, limitPerS: perS < 0 ? undefined : perS, version: row.number() };
+	const limitPerS = row.thousandths();
+	return { engine, limitPerS: limitPerS < 0 ? undefined : limitPerS, version: row.number() };
 }
 
 export function encodePermitRequest({
 	from,
 	id,
-	limit: word,
+	limit,
 	urgency,
 	waitMs,
 }: PermitRequest): Uint8Array {
-	const { permitRequest: permitAsk } = messageTypes;
+	const { permitRequest } = messageTypes;
 	return msgpack.encode([
 		wireFormatVersion,
-		permitAsk,
+		permitRequest,
 		from,
 		id,
-		packLimit(word),
+		packLimit(limit),
 		urgency,
 		Math.round(waitMs),
 	]);
 }
 
-/** @throws RowError when the row behind the type is no ask, or one that cannot be answered */
+/** @throws RowError when the fields after the type are not a permit request that can be answered */
 export function decodePermitRequest(row: RowReader): PermitRequest {
-	const ask = {
+	const request = {
 		from: row.string(),
 		id: row.number(),
 		limit: row.nested(readLimit),
@@ -59,40 +58,40 @@
 		waitMs: row.number(),
 	};
 	row.expectEnd();
-	const isWait = ask.waitMs >= 0 && ask.waitMs <= mostWaitMs;
-	if (!isAddress(ask.from) || !urgencies.includes(ask.urgency) || !isWait) {
-		throw new RowError('an ask of a VM');
+	const isValidWait = request.waitMs >= 0 && request.waitMs <= maxWaitMs;
+	if (!isAddress(request.from) || !urgencies.includes(request.urgency) || !isValidWait) {
+		throw new RowError('a permit request with a valid address, urgency and wait');
 	}
-	return ask;
+	return request;
 }
 
-/** Whether an answer can be sent there: an address that is none would end the process that sends. */
+/** Whether a datagram can be sent there; an invalid address would make the socket throw. */
 function isAddress(text: string): boolean {
 	const { host, port } = parseAddress(text);
-	return net.isIPv4(host) && Number.isInteger(port) && port > 0 && port <= mostPort;
+	return net.isIPv4(host) && Number.isInteger(port) && port > 0 && port <= maxPort;
 }
 
-export function encodePermitResponse(answer: PermitResponse): Uint8Array {
-	const { id, limit: word, isGranted, retryAfterMs } = answer;
-	const { permitResponse: permitAnswer } = messageTypes;
+export function encodePermitResponse(response: PermitResponse): Uint8Array {
+	const { id, limit, isGranted, retryAfterMs } = response;
+	const { permitResponse } = messageTypes;
 	return msgpack.encode([
 		wireFormatVersion,
-		permitAnswer,
+		permitResponse,
 		id,
-		packLimit(word),
+		packLimit(limit),
 		isGranted,
 		Math.round(retryAfterMs),
 	]);
 }
 
-/** @throws RowError when the row behind the type is no answer */
+/** @throws RowError when the fields after the type are not a permit response */
 export function decodePermitResponse(row: RowReader): PermitResponse {
-	const answer = {
+	const response = {
 		id: row.number(),
 		limit: row.nested(readLimit),
 		isGranted: row.boolean(),
 		retryAfterMs: row.number(),
 	};
 	row.expectEnd();
-	return answer;
+	return response;
 }
--- a/src/infra/relay/message-types.ts
+++ b/src/infra/relay/message-types.ts
@@ -1,22 +1,21 @@
 /**
- * What the datagrams between VMs are.
+ * Format version and message types of the datagrams between VMs.
  * @module
  */
 
-/** Messages of another format are not understood; VMs of two formats side by side hear only their own. */
+/** First field of a message. Messages of another version are dropped. */
 export const wireFormatVersion = 9;
 
-/** Type of a message, its second field. */
+/** Second field of a message. */
 export const messageTypes = {
-	/** News, by their kind. */
+	/** Gossip, by its kind. */
 	report: 0,
 	group: 1,
 	fleet: 2,
-	/** What a VM counted, for the holder of the duty to report it. */
+	/** Usage counts for the holder of the reporting duty. */
 	usage: 3,
-	/** The holder has taken it in. */
 	usageAck: 4,
-	/** A VM asks for leave to send a request to an engine that names a limit, and the answer. */
+	/** Permission to send a request to an engine that names a rate limit. */
 	permitRequest: 5,
 	permitResponse: 6,
 } as const;
--- a/src/infra/relay/peer-datagram-socket.ts
+++ b/src/infra/relay/peer-datagram-socket.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between VMs as datagrams. Nothing is sent again here: a lost message is made good by a later one.
+ * UDP socket for messages between VMs. Nothing is retransmitted: later messages supersede lost ones.
  * @module
  */
 import * as dgram from 'node:dgram';
@@ -22,17 +22,17 @@
 
 /** Receives what other VMs send. */
 export interface PeerListener {
-	onGossip(news: GossipMessage): void;
+	onGossip(message: GossipMessage): void;
 	onUsage(usage: UsageCounts): void;
-	onUsageAck(taken: UsageAck): void;
-	onPermitRequest(ask: PermitRequest): void;
-	onPermitResponse(answer: PermitResponse): void;
+	onUsageAck(ack: UsageAck): void;
+	onPermitRequest(request: PermitRequest): void;
+	onPermitResponse(response: PermitResponse): void;
 }
 
 export class PeerDatagramSocket {
 	private readonly socket = dgram.createSocket('udp4');
-	private refused = 0;
-	private closed = false;
+	private unreadableCount = 0;
+	private isClosed = false;
 
 	constructor(
 		private readonly log: Log,
@@ -43,47 +43,47 @@
 	}
 
 	async bind(address: HostPort): Promise<void> {
-		await new Promise<void>((done, failed) => {
-			this.socket.once('error', failed);
+		await new Promise<void>((resolve, reject) => {
+			this.socket.once('error', reject);
 			this.socket.bind(address.port, address.host, () => {
-				this.socket.off('error', failed);
-				done();
+				this.socket.off('error', reject);
+				resolve();
 			});
 		});
 	}
 
-	sendGossip(to: readonly HostPort[], news: GossipMessage): void {
-		this.send(to, encodeGossip(news));
+	sendGossip(to: readonly HostPort[], message: GossipMessage): void {
+		this.send(to, encodeGossip(message));
 	}
 
 	sendUsage(to: HostPort, usage: UsageCounts): void {
 		this.send([to], encodeUsage(usage));
 	}
 
-	sendUsageAck(to: HostPort, taken: UsageAck): void {
-		this.send([to], encodeUsageAck(taken));
+	sendUsageAck(to: HostPort, ack: UsageAck): void {
+		this.send([to], encodeUsageAck(ack));
 	}
 
-	sendPermitRequest(to: HostPort, ask: PermitRequest): void {
-		this.send([to], encodePermitRequest(ask));
+	sendPermitRequest(to: HostPort, request: PermitRequest): void {
+		this.send([to], encodePermitRequest(request));
 	}
 
-	sendPermitResponse(to: HostPort, answer: PermitResponse): void {
-		this.send([to], encodePermitResponse(answer));
+	sendPermitResponse(to: HostPort, response: PermitResponse): void {
+		this.send([to], encodePermitResponse(response));
 	}
 
 	close(): void {
-		this.closed = true;
+		this.isClosed = true;
 		this.socket.close();
 	}
 
-	/** Sends nothing once closed: messages may come due while the daemon ends. */
+	/** Does nothing after `close`, since timers may still fire during shutdown. */
 	private send(to: readonly HostPort[], datagram: Uint8Array): void {
-		if (this.closed) {
+		if (this.isClosed) {
 			return;
 		}
 		for (const { host, port } of to) {
-			// A datagram that is lost, here or on the way, is made good by the next.
+			// Errors are ignored like losses on the network.
 			this.socket.send(datagram, port, host, () => {});
 		}
 	}
@@ -92,25 +92,25 @@
 		if (dispatchDatagram(datagram, this.listener)) {
 			return;
 		}
-		this.refused++;
-		if (this.refused === 1) {
+		this.unreadableCount++;
+		if (this.unreadableCount === 1) {
 			this.log.warn('peers.unreadable', { bytes: datagram.length });
 		}
 	}
 }
 
 /**
- * Decodes a datagram and hands it to the listener.
- * @returns false for bytes that are no message of this format; nothing is handed on then
+ * Decodes a datagram and passes its message to the listener.
+ * @returns false for bytes that are not a message of this format version
  */
 export function dispatchDatagram(datagram: Uint8Array, listener: PeerListener): boolean {
-	const message = decode(datagram);
-	message?.(listener);
-	return message !== undefined;
+	const deliver = decodeMessage(datagram);
+	deliver?.(listener);
+	return deliver !== undefined;
 }
 
-/** @returns what to do with the listener; undefined for bytes that are no message */
-function decode(datagram: Uint8Array): ((listener: PeerListener) => void) | undefined {
+/** @returns a function that passes the message to a listener; undefined for bytes that are not a message */
+function decodeMessage(datagram: Uint8Array): ((listener: PeerListener) => void) | undefined {
 	try {
 		const row = new RowReader(msgpack.decode(datagram));
 		if (row.number() !== wireFormatVersion) {
@@ -122,31 +122,31 @@
 			return (listener) => listener.onUsage(usage);
 		}
 		if (type === messageTypes.usageAck) {
-			const taken = decodeUsageAck(row);
-			return (listener) => listener.onUsageAck(taken);
+			const ack = decodeUsageAck(row);
+			return (listener) => listener.onUsageAck(ack);
 		}
 		if (type === messageTypes.permitRequest) {
-			const ask = decodePermitRequest(row);
-			return (listener) => listener.onPermitRequest(ask);
+			const request = decodePermitRequest(row);
+			return (listener) => listener.onPermitRequest(request);
 		}
 		if (type === messageTypes.permitResponse) {
-			const answer = decodePermitResponse(row);
-			return (listener) => listener.onPermitResponse(answer);
+			const response = decodePermitResponse(row);
+			return (listener) => listener.onPermitResponse(response);
 		}
-		const news = decodeGossip(type, row);
-		return (listener) => listener.onGossip(news);
+		const message = decodeGossip(type, row);
+		return (listener) => listener.onGossip(message);
 	} catch {
-		// Not MessagePack, or a field of another type; the first such datagram is logged.
+		// Not MessagePack, or not the expected fields.
 		return undefined;
 	}
 }
 
-/** @returns the news in a datagram; undefined when it holds none */
+/** @returns undefined when the datagram is not gossip */
 export function decodeGossipDatagram(datagram: Uint8Array): GossipMessage | undefined {
 	let found: GossipMessage | undefined;
 	dispatchDatagram(datagram, {
-		onGossip: (news) => {
-			found = news;
+		onGossip: (message) => {
+			found = message;
 		},
 		onUsage: () => {},
 		onUsageAck: () => {},
--- a/src/infra/relay/peer-transfers.ts
+++ b/src/infra/relay/peer-transfers.ts
@@ -1,25 +1,20 @@
 /**
- * Copies of configurations and of lists of engines from VM to VM: HTTP, compressed, a few at a time.
- *
- * A change of the configuration makes all members of an aggregator ask for it at once, over a link that also carries
- * their answers and news. Sent uncompressed and all at once, 17 copies of 290 KB over 7 Mbit/s took six seconds, ran
- * into a limit on the whole transfer, and were begun again; compressed they take a tenth of it.
+ * Transfers configurations and engine lists between VMs over HTTP. Documents are compressed and few are sent
+ * at once, since all members of an aggregator fetch a new configuration at the same time over a shared link.
  * @module
  */
 import * as http from 'node:http';
 import * as undici from 'undici';
 import type { Log } from '../../core/definitions.js';
 
-/** Copies sent at once; a copy of 28 KB keeps a link of 7 Mbit/s busy for 32 ms. */
-const sendsAtOnce = 3;
-/** A transfer that brings nothing for so long is given up, in milliseconds: 20 copies of 28 KB take one second by the above. */
-const stallMs = 1500;
-/** A connection between VMs comes up in 2 to 4 ms; a lost packet is sent again after a second. */
+const maxConcurrentSends = 3;
+/** A transfer without data for this long is aborted; leaves time to wait in the peer's queue. */
+const stallTimeoutMs = 1500;
 const connectTimeoutMs = 400;
-/** While a transfer has brought nothing for so long, in milliseconds, another VM may be asked for the same. */
-const slowMs = 400;
-/** Lower levels are faster: level 1 takes 2 ms for 290 KB and saves 90 %, as much as level 6. */
-const compression = { level: 1 };
+/** After this long without data, another VM may be asked for the same path. */
+const slowTransferMs = 400;
+/** The fastest level; higher ones hardly reduce the size of a configuration. */
+const compressionOptions = { level: 1 };
 
 interface Transfer {
 	address: string;
@@ -28,37 +23,37 @@
 
 export interface PeerTransfersOptions {
 	log: Log;
-	/** What a path and query names; undefined for what this VM does not have. */
+	/** Returns the document for a path with its query; undefined when this VM does not have it. */
 	getDocument: (target: string) => string | undefined;
 }
 
 export class PeerTransfers {
 	readonly server: http.Server;
 	private readonly agent = new undici.Agent({ connect: { timeout: connectTimeoutMs } });
-	private readonly queue: (() => void)[] = [];
-	private sending = 0;
-	/** The last transfer of each path that is under way. */
-	private readonly fetching = new Map<string, Transfer>();
-	private packedText = '';
-	private packed = Buffer.alloc(0);
+	private readonly sendQueue: (() => void)[] = [];
+	private activeSends = 0;
+	/** Latest running transfer of each path. */
+	private readonly fetches = new Map<string, Transfer>();
+	private compressedText = '';
+	private compressed = Buffer.alloc(0);
 
 	constructor(private readonly opts: PeerTransfersOptions) {
 		this.server = http.createServer((req, res) => this.serve(req, res));
 	}
 
 	/**
-	 * Fetches what a peer has under a path.
-	 * @returns undefined when the peer has nothing, does not answer, or a transfer of the path goes on
+	 * Fetches a document from a peer.
+	 * @returns undefined when the peer does not have it, the transfer fails, or another one of the path is running
 	 */
 	async fetch(address: string, target: string): Promise<string | undefined> {
 		const [path = target] = target.split('?');
 		const now = performance.now();
-		const before = this.fetching.get(path);
-		if (before && (before.address === address || now - before.progressAt < slowMs)) {
+		const current = this.fetches.get(path);
+		if (current && (current.address === address || now - current.progressAt < slowTransferMs)) {
 			return undefined;
 		}
 		const transfer = { address, progressAt: now };
-		this.fetching.set(path, transfer);
+		this.fetches.set(path, transfer);
 		try {
 			return await this.download(transfer, target);
 		} catch (err) {
@@ -66,8 +61,8 @@
 			this.opts.log.warn('peer.fetch-failed', { peer: address, path: target, error });
 			return undefined;
 		} finally {
-			if (this.fetching.get(path) === transfer) {
-				this.fetching.delete(path);
+			if (this.fetches.get(path) === transfer) {
+				this.fetches.delete(path);
 			}
 		}
 	}
@@ -79,14 +74,17 @@
 	}
 
 	private async download(transfer: Transfer, target: string): Promise<string | undefined> {
-		const stalled = new AbortController();
-		const timer = setTimeout(() => stalled.abort(new Error(`nothing for ${stallMs} ms`)), stallMs);
+		const controller = new AbortController();
+		const timer = setTimeout(
+			() => controller.abort(new Error(`no data for ${stallTimeoutMs} ms`)),
+			stallTimeoutMs,
+		);
 		try {
 			const res = await this.agent.request({
 				origin: `http://${transfer.address}`,
 				path: target,
 				method: 'GET',
-				signal: stalled.signal,
+				signal: controller.signal,
 			});
 			const chunks: Buffer[] = [];
 			for await (const chunk of res.body) {
@@ -94,7 +92,7 @@
 				transfer.progressAt = performance.now();
 				timer.refresh();
 			}
-			return res.statusCode === 200 ? unpack(Buffer.concat(chunks)) : undefined;
+			return res.statusCode === 200 ? decompress(Buffer.concat(chunks)) : undefined;
 		} finally {
 			clearTimeout(timer);
 		}
@@ -107,47 +105,44 @@
 			return;
 		}
 		const send = () => this.send(res, text);
-		if (this.sending < sendsAtOnce) {
+		if (this.activeSends < maxConcurrentSends) {
 			send();
 		} else {
-			this.queue.push(send);
+			this.sendQueue.push(send);
 		}
 	}
 
 	private send(res: http.ServerResponse, text: string): void {
-		this.sending++;
+		this.activeSends++;
 		res.on('close', () => {
-			this.sending--;
-			this.queue.shift()?.();
+			this.activeSends--;
+			this.sendQueue.shift()?.();
 		});
 		if (res.destroyed) {
-			// Its caller left while it waited; the event that starts the next is past.
+			// The peer disconnected while queued and 'close' has fired already, so the listener above is run by hand.
 			res.emit('close');
 			return;
 		}
 		res.writeHead(200, { 'content-type': 'application/octet-stream' });
-		res.end(this.pack(text));
+		res.end(this.compress(text));
 	}
 
-	/** Compresses each configuration once. */
-	private pack(text: string): Buffer {
-		if (text !== this.packedText) {
+	/** Caches the last result, since peers usually fetch the same document. */
+	private compress(text: string): Buffer {
+		if (text !== this.compressedText) {
 			const zlib = loadZlib();
-			this.packedText = text;
-			this.packed = zlib.deflateRawSync(text, compression);
+			this.compressedText = text;
+			this.compressed = zlib.deflateRawSync(text, compressionOptions);
 		}
-		return this.packed;
+		return this.compressed;
 	}
 }
 
-/**
- * Loaded when it is needed first: a start that finds the store does not need it. The bundle runs as a script, which
- * cannot import.
- */
+/** Loads zlib on first use to shorten the start; the bundle runs as a script, which cannot use import(). */
 function loadZlib() {
 	return process.getBuiltinModule('node:zlib');
 }
 
-function unpack(bytes: Buffer): string {
+function decompress(bytes: Buffer): string {
 	return loadZlib().inflateRawSync(bytes).toString();
 }
--- a/src/infra/relay/prometheus-metrics.ts
+++ b/src/infra/relay/prometheus-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Figures of the relay as text for a Prometheus-style collector. Labels are bounded: routes and
+ * Metrics of the relay in the Prometheus text format. The cardinality of labels is bounded: routes and
  * services come from the configuration, outcomes and statuses from the code.
  * @module
  */
@@ -8,100 +8,100 @@
 import type { RelayMetrics } from '../../core/relay/metrics.js';
 import type { RelayOutcome } from '../../core/relay/types.js';
 
-/** Bounds of the histograms in seconds: from a plain answer to the longest deadline. */
-const secondBuckets = [0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12];
+/** Upper bounds of the histogram buckets, up to the longest deadline. */
+const durationBucketsS = [0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12];
 
-/** Figures that are read when they are asked for. */
+/** Read each time the metrics are collected. */
 export interface RelayGauges {
-	/** Requests that have not ended. */
 	openRequests: () => number;
-	/** VMs heard of lately, this one included. */
+	/** Number of VMs with recent gossip, including this one. */
 	liveVms: () => number;
 	configurationVersion: () => number;
 	storeCalls: () => number;
-	/** 1 while the store answers. */
+	/** 1 while the store answers, otherwise 0. */
 	storeReachable: () => number;
 	logLinesDropped: () => number;
 	duties: () => DutyStats;
-	/** What work is estimated to cost, by service. */
 	costEstimates: () => readonly CostSample[];
-	/** Engines that name a limit now. */
+	/** Number of engines that name a rate limit. */
 	limitedEngines: () => number;
-	/** Contents that are kept from engines because engines ended under them. */
+	/** Number of request contents quarantined after engine crashes. */
 	quarantinedContents: () => number;
 }
 
-/** What this VM does for the whole fleet. */
+/** Statistics of the duties that this VM holds for the fleet. */
 export interface DutyStats {
-	/** Fencing token; 0 while it holds no duty. */
+	/** Fencing token; 0 while this VM holds no duty. */
 	token: number;
-	/** Since the start: windows whose counts the platform took in time, and too late; orders that it took. */
+	/** Usage windows that the platform accepted in time, since the start. */
 	reported: number;
+	/** Usage windows that the platform received too late, since the start. */
 	missed: number;
+	/** Orders for engines that the platform accepted, since the start. */
 	orders: number;
 }
 
 export interface CostSample {
 	service: string;
 	estimates: CostEstimates;
-	/** How many times as long as usual the slowest engine takes. */
+	/** Pace of the slowest engine relative to the service's estimates; 1 is as estimated. */
 	slowestPace: number;
 }
 
 export class PrometheusMetrics implements RelayMetrics {
 	private readonly registry = new prometheus.Registry();
-	/** Largest delay of the loop since it was last asked for, in milliseconds. */
-	private delayMs = 0;
-	private readonly endedTotal = this.counter(
+	/** Maximum since the last collection. */
+	private maxLoopDelayMs = 0;
+	private readonly requestsTotal = this.counter(
 		'slategauge_requests_total',
-		'Requests that ended, by route and outcome',
+		'Completed requests, by route and outcome',
 		['route', 'outcome'],
 	);
 	private readonly deniedTotal = this.counter(
 		'slategauge_denied_total',
-		'Requests that no route or key allows, by status told',
+		'Requests denied for their route or key, by response status',
 		['status'],
 	);
-	private readonly retriedTotal = this.counter(
+	private readonly retriesTotal = this.counter(
 		'slategauge_retries_total',
-		'Requests sent to a further engine, by service',
+		'Retries at another engine, by service',
 		['service'],
 	);
-	private readonly closedTotal = this.counter(
+	private readonly circuitsOpenedTotal = this.counter(
 		'slategauge_engines_closed_total',
-		'Times that this VM stopped using an engine after failures',
+		'Times that the circuit breaker of an engine opened after failures',
 		[],
 	);
-	private readonly permitDeniedTotal = this.counter(
+	private readonly permitsDeniedTotal = this.counter(
 		'slategauge_permits_denied_total',
-		'Times that a request got no permit for an engine that names a limit, by service',
+		'Permits denied for engines that name a rate limit, by service',
 		['service'],
 	);
-	private readonly restoredTotal = this.counter(
+	private readonly storeRestoredTotal = this.counter(
 		'slategauge_store_restored_total',
-		'Times that the store came back from an older copy',
+		'Times that the store was restored from an older copy',
 		[],
 	);
-	private readonly firstSeconds = this.histogram(
+	private readonly firstByteSeconds = this.histogram(
 		'slategauge_first_byte_seconds',
-		'From the request to the first byte of its answer, by route',
+		'Time from the request to the first byte of its answer, by route',
 	);
-	private readonly tookSeconds = this.histogram(
+	private readonly requestSeconds = this.histogram(
 		'slategauge_request_seconds',
-		'From the request to the end of its answer, by route',
+		'Time from the request to the end of its answer, by route',
 	);
 
 	constructor(gauges: RelayGauges) {
-		this.gauge('slategauge_open_requests', 'Requests that have not ended', gauges.openRequests);
-		this.gauge('slategauge_fleet_vms', 'VMs heard of in the last second', gauges.liveVms);
+		this.gauge('slategauge_open_requests', 'Requests in progress', gauges.openRequests);
+		this.gauge('slategauge_fleet_vms', 'VMs with gossip in the last second', gauges.liveVms);
 		this.gauge(
 			'slategauge_configuration_version',
-			'Version in force; 0 before the first',
+			'Version of the configuration in force; 0 before the first',
 			gauges.configurationVersion,
 		);
 		this.gauge(
 			'slategauge_limited_engines',
-			'Engines that name how many requests a second they take',
+			'Engines that name a limit of requests per second',
 			gauges.limitedEngines,
 		);
 		this.gauge('slategauge_store_calls', 'Calls to the store since the start', gauges.storeCalls);
@@ -115,58 +115,62 @@
 			'Log lines dropped since the start',
 			gauges.logLinesDropped,
 		);
-		this.gauge('slategauge_event_loop_delay_seconds', 'Largest delay since last asked', () => {
-			const worst = this.delayMs / 1000;
-			this.delayMs = 0;
-			return worst;
-		});
+		this.gauge(
+			'slategauge_event_loop_delay_seconds',
+			'Maximum event loop delay since the last collection',
+			() => {
+				const maxDelayS = this.maxLoopDelayMs / 1000;
+				this.maxLoopDelayMs = 0;
+				return maxDelayS;
+			},
+		);
 		this.gauge(
 			'slategauge_duty_token',
-			'Fencing token under which this VM acts for the fleet; 0 while it does not',
+			'Fencing token of the duties that this VM holds; 0 while it holds none',
 			() => gauges.duties().token,
 		);
 		this.gauge(
 			'slategauge_usage_windows_reported',
-			'Windows of usage that the platform took in time from this VM, since the start',
+			'Usage windows of this VM that the platform accepted in time, since the start',
 			() => gauges.duties().reported,
 		);
 		this.gauge(
 			'slategauge_usage_windows_late',
-			'Windows of usage that the platform took too late from this VM, since the start',
+			'Usage windows of this VM that the platform received too late, since the start',
 			() => gauges.duties().missed,
 		);
 		this.gauge(
 			'slategauge_engine_orders',
-			'Orders of engines that the platform took from this VM, since the start',
+			'Orders for engines from this VM that the platform accepted, since the start',
 			() => gauges.duties().orders,
 		);
 		this.gauge(
 			'slategauge_quarantined_contents',
-			'Contents of requests that are kept from engines because engines ended under them',
+			'Request contents quarantined after engine crashes',
 			gauges.quarantinedContents,
 		);
 		this.costGauge(
 			gauges,
 			'slategauge_read_seconds_per_token',
-			'Reading a prompt token',
+			'Time to read a prompt token',
 			'readMsPerToken',
 		);
 		this.costGauge(
 			gauges,
 			'slategauge_event_pause_seconds',
-			'Undisturbed pause of a stream',
+			'Time between stream events without concurrent prefill',
 			'eventIntervalMs',
 		);
 		this.costGauge(
 			gauges,
 			'slategauge_copy_seconds_per_token',
-			'Copying a read token',
+			'Time to copy a cached token',
 			'copyMsPerToken',
 		);
 		this.serviceGauge(
 			gauges,
 			'slategauge_slowest_engine_pace',
-			'Times as long as the figures of its service that its slowest engine takes, by service',
+			'Pace of the slowest engine relative to the estimates, by service',
 			({ slowestPace }) => slowestPace,
 		);
 		this.gauge('slategauge_resident_bytes', 'Memory of the process', () =>
@@ -175,10 +179,10 @@
 	}
 
 	recordEnded(route: string, outcome: RelayOutcome, tookMs: number, firstMs?: number): void {
-		this.endedTotal.inc({ route, outcome });
-		this.tookSeconds.observe({ route }, tookMs / 1000);
+		this.requestsTotal.inc({ route, outcome });
+		this.requestSeconds.observe({ route }, tookMs / 1000);
 		if (firstMs !== undefined) {
-			this.firstSeconds.observe({ route }, firstMs / 1000);
+			this.firstByteSeconds.observe({ route }, firstMs / 1000);
 		}
 	}
 
@@ -187,30 +191,27 @@
 	}
 
 	recordRetry(service: string): void {
-		this.retriedTotal.inc({ service });
+		this.retriesTotal.inc({ service });
 	}
 
 	recordStoreRestored(): void {
-		this.restoredTotal.inc();
+		this.storeRestoredTotal.inc();
 	}
 
 	recordPermitDenied(service: string): void {
-		this.permitDeniedTotal.inc({ service });
+		this.permitsDeniedTotal.inc({ service });
 	}
 
 	recordCircuitOpened(): void {
-		this.closedTotal.inc();
+		this.circuitsOpenedTotal.inc();
 	}
 
-	/**
-	 * The daemon's own timer fired so much late, in milliseconds. A monitor of the runtime's would wake the process 50 times a
-	 * second for it; no gain in processor time was measured.
-	 */
+	/** Records how late a timer of the daemon fired, in milliseconds. */
 	recordEventLoopDelay(ms: number): void {
-		this.delayMs = Math.max(this.delayMs, ms);
+		this.maxLoopDelayMs = Math.max(this.maxLoopDelayMs, ms);
 	}
 
-	/** All figures as text. */
+	/** Returns all metrics in the text format. */
 	render(): Promise<string> {
 		return this.registry.metrics();
 	}
@@ -222,18 +223,24 @@
 	private histogram(name: string, help: string): prometheus.Histogram {
 		const labelNames = ['route'];
 		const registers = [this.registry];
-		return new prometheus.Histogram({ name, help, labelNames, registers, buckets: secondBuckets });
+		return new prometheus.Histogram({
+			name,
+			help,
+			labelNames,
+			registers,
+			buckets: durationBucketsS,
+		});
 	}
 
-	/** One figure of all services, in seconds. */
+	/** Exports an estimate in milliseconds as seconds, for each service. */
 	private costGauge(
 		gauges: RelayGauges,
 		name: string,
-		what: string,
-		figure: keyof CostEstimates,
+		description: string,
+		estimate: keyof CostEstimates,
 	): void {
-		const help = `${what}, as estimated, by service`;
-		this.serviceGauge(gauges, name, help, ({ estimates: figures }) => figures[figure] / 1000);
+		const help = `${description}, estimated, by service`;
+		this.serviceGauge(gauges, name, help, ({ estimates }) => estimates[estimate] / 1000);
 	}
 
 	private serviceGauge(
--- a/src/infra/relay/readiness-server.ts
+++ b/src/infra/relay/readiness-server.ts
@@ -1,19 +1,19 @@
 /**
- * Tells the balancer whether this VM takes new connections, and serves metrics as text.
+ * HTTP servers for the load balancer's readiness check and for metrics.
  * @module
  */
 import * as http from 'node:http';
 
-/** Serves `GET /readyz`. */
+/** Answers `/readyz` with 200 or 503 and other paths with 404. */
 export function createReadinessServer(isReady: () => boolean): http.Server {
 	return http.createServer((req, res) => {
-		const known = req.url === '/readyz';
-		res.writeHead(known ? (isReady() ? 200 : 503) : 404);
+		const isKnownPath = req.url === '/readyz';
+		res.writeHead(isKnownPath ? (isReady() ? 200 : 503) : 404);
 		res.end();
 	});
 }
 
-/** Serves the text of `render` on every path. */
+/** Serves the text of `render` on every path, for a Prometheus collector. */
 export function createMetricsServer(render: () => Promise<string>): http.Server {
 	return http.createServer((_req, res) => {
 		render().then(
--- a/src/infra/relay/relay-http-server.ts
+++ b/src/infra/relay/relay-http-server.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' side of the relay: reads whole requests, writes answers as they come.
+ * HTTP server for callers of the relay: reads whole requests and streams answers.
  * @module
  */
 import * as http from 'node:http';
@@ -10,21 +10,24 @@
 import type { CallerLimits } from '../../core/routing/types.js';
 import { sendWithLingeringClose } from '../lingering-close.js';
 
-/** Largest head that is read at all; the configuration's own bound may be lower. */
+/** Upper bound for request heads; the configured limit may be lower. */
 const maxHeadBytes = 65_536;
-/** How often unfinished heads are looked for, in milliseconds. */
-const headCheckMs = 1000;
-/** Bounds until a configuration is in force. */
-const firstLimits: CallerLimits = {
+/** Interval between checks for heads that exceed their time-out. */
+const headCheckIntervalMs = 1000;
+/** In force until a configuration is loaded. */
+const defaultLimits: CallerLimits = {
 	headBytes: 16_384,
 	bodyBytes: 4_194_304,
 	headTimeoutMs: 3000,
 	idleTimeoutMs: 15_000,
 };
-/** Bodies of all requests that are being read or forwarded, in bytes; a sixth of the smallest VM. */
-const maxHeldBytes = 40 * 1024 * 1024;
+/** Bound for the bodies of all open requests together; new requests are refused above it. */
+const maxBufferedBytes = 40 * 1024 * 1024;
 
-/** Reads a head; belongs to the adapter of the platform. */
+/**
+ * Decodes a request head, as defined by the platform adapter.
+ * @returns undefined for a head without a request ID or host
+ */
 export type RequestDecoder = (
 	head: { method: string; target: string; rawHeaders: RawHeaders; arrivedAt: number },
 	body: Buffer,
@@ -34,36 +37,36 @@
 	clock: Clock;
 	log: Log;
 	decode: RequestDecoder;
-	/** Whether the loop is so late that callers may have left meanwhile. */
+	/** Whether the event loop lags so far behind that callers may have disconnected unnoticed. */
 	isEventLoopLagging: () => boolean;
 	handle: (req: CallerRequest, res: CallerResponse) => void;
 }
 
 export class RelayHttpServer {
 	readonly server: http.Server;
-	private limits = firstLimits;
-	private heldBytes = 0;
-	private stopping = false;
-	private inFlight = 0;
+	private limits = defaultLimits;
+	private bufferedBytes = 0;
+	private isKeepAliveDisabled = false;
+	private openCount = 0;
 
 	constructor(private readonly opts: RelayHttpServerOptions) {
 		this.server = http.createServer(
 			{
 				maxHeaderSize: maxHeadBytes,
-				headersTimeout: firstLimits.headTimeoutMs,
+				headersTimeout: defaultLimits.headTimeoutMs,
 				requestTimeout: 0,
-				keepAliveTimeout: firstLimits.idleTimeoutMs,
-				connectionsCheckingInterval: headCheckMs,
+				keepAliveTimeout: defaultLimits.idleTimeoutMs,
+				connectionsCheckingInterval: headCheckIntervalMs,
 				noDelay: true,
 			},
 			(req, res) => this.accept(req, res),
 		);
-		this.server.on('clientError', refuseSocket);
+		this.server.on('clientError', handleClientError);
 	}
 
 	/** Requests whose answer has not ended. */
 	get openRequests(): number {
-		return this.inFlight;
+		return this.openCount;
 	}
 
 	configure(limits: CallerLimits): void {
@@ -72,22 +75,21 @@
 		this.server.keepAliveTimeout = limits.idleTimeoutMs;
 	}
 
-	/** From now on each answer is the last on its connection. */
+	/** Closes each connection after its next answer. */
 	disableKeepAlive(): void {
-		this.stopping = true;
+		this.isKeepAliveDisabled = true;
 	}
 
-	/** Closes connections that carry no request. */
 	closeIdleConnections(): void {
 		this.server.closeIdleConnections();
 	}
 
 	private accept(req: http.IncomingMessage, res: http.ServerResponse): void {
-		this.inFlight++;
-		const held = { bytes: 0 };
+		this.openCount++;
+		const bodySize = { bytes: 0 };
 		res.on('close', () => {
-			this.inFlight--;
-			this.heldBytes -= held.bytes;
+			this.openCount--;
+			this.bufferedBytes -= bodySize.bytes;
 		});
 		const arrivedAt = this.opts.clock.sinceBoot();
 		if (headBytes(req.rawHeaders) > this.limits.headBytes) {
@@ -98,27 +100,27 @@
 			refuse(req, res, 413, 'the body is too large');
 			return;
 		}
-		if (this.heldBytes > maxHeldBytes) {
-			this.opts.log.warn('callers.memory-full', { held_bytes: this.heldBytes });
+		if (this.bufferedBytes > maxBufferedBytes) {
+			this.opts.log.warn('callers.memory-full', { held_bytes: this.bufferedBytes });
 			refuse(req, res, 503, 'too many bodies are held', true);
 			return;
 		}
-		this.readBody(req, res, held, (body) =>
-			this.whenStillThere(req, () => this.handOn(req, res, body, arrivedAt)),
+		this.readBody(req, res, bodySize, (body) =>
+			this.unlessDisconnected(req, () => this.forward(req, res, body, arrivedAt)),
 		);
 	}
 
 	private readBody(
 		req: http.IncomingMessage,
 		res: http.ServerResponse,
-		held: { bytes: number },
+		bodySize: { bytes: number },
 		done: (body: Buffer) => void,
 	): void {
 		const chunks: Buffer[] = [];
 		req.on('data', (chunk: Buffer) => {
-			held.bytes += chunk.length;
-			this.heldBytes += chunk.length;
-			if (held.bytes > this.limits.bodyBytes && !res.headersSent) {
+			bodySize.bytes += chunk.length;
+			this.bufferedBytes += chunk.length;
+			if (bodySize.bytes > this.limits.bodyBytes && !res.headersSent) {
 				chunks.length = 0;
 				refuse(req, res, 413, 'the body is too large');
 				return;
@@ -131,30 +133,32 @@
 			}
 		});
 		req.on('error', (err) => {
-			this.opts.log.debug('callers.body-broken', { error: err.message, body_bytes: held.bytes });
+			this.opts.log.debug('callers.body-broken', {
+				error: err.message,
+				body_bytes: bodySize.bytes,
+			});
 		});
 	}
 
 	/**
-	 * A VM short of processor reads a request seconds late, and its caller's hang-up right after: in an overload ten requests
-	 * in a row went to engines half a second and more after their callers had left. The hang-up is read in the next turn of
-	 * the loop, so the request is handed on in the one after.
+	 * Drops requests whose callers disconnected before a lagging event loop read them. The disconnect is
+	 * read in the next iteration of the loop, so the request is forwarded in the one after.
 	 */
-	private whenStillThere(req: http.IncomingMessage, handOn: () => void): void {
+	private unlessDisconnected(req: http.IncomingMessage, forward: () => void): void {
 		if (!this.opts.isEventLoopLagging()) {
-			handOn();
+			forward();
 			return;
 		}
 		setImmediate(() => {
 			setImmediate(() => {
 				if (!req.socket.readableEnded && !req.socket.destroyed) {
-					handOn();
+					forward();
 				}
 			});
 		});
 	}
 
-	private handOn(
+	private forward(
 		req: http.IncomingMessage,
 		res: http.ServerResponse,
 		body: Buffer,
@@ -166,25 +170,25 @@
 			refuse(req, res, 400, 'the head names no request or host');
 			return;
 		}
-		this.opts.handle(request, new HttpCallerResponse(res, () => this.stopping));
+		this.opts.handle(request, new HttpCallerResponse(res, () => this.isKeepAliveDisabled));
 	}
 }
 
 /**
- * One answer on Node's server. Chunks behind the first go to the socket in one piece each: the server would write their length, bytes and
- * end one by one, gather them, and join them again in the next step of the loop.
+ * Writes one answer. Chunks after the first go to the socket directly, with one write each: Node's server
+ * would write their size, data and line end separately.
  */
 class HttpCallerResponse implements CallerResponse {
-	/** The socket, once the head has left on it and chunks may follow. */
+	/** Set once the head has been written to it and chunks may follow. */
 	private socket?: net.Socket;
 
 	constructor(
 		private readonly res: http.ServerResponse,
-		private readonly isLast: () => boolean,
+		private readonly shouldClose: () => boolean,
 	) {}
 
 	writeHead(status: number, headers: RawHeaders): void {
-		if (this.isLast()) {
+		if (this.shouldClose()) {
 			this.res.shouldKeepAlive = false;
 		}
 		this.res.writeHead(status, headers);
@@ -193,14 +197,14 @@
 	write(chunk: Buffer): boolean {
 		const { res, socket } = this;
 		if (socket && !socket.destroyed) {
-			return chunk.length === 0 || socket.write(framed(chunk));
+			return chunk.length === 0 || socket.write(encodeChunk(chunk));
 		}
-		const isTaken = res.write(chunk);
-		// A caller who asked for several answers at once gets this one's socket when those before it have ended.
+		const hasCapacity = res.write(chunk);
+		// A pipelined answer has no socket until the answers before it have ended.
 		if (res.socket && res.chunkedEncoding && res.req.method !== 'HEAD') {
 			this.socket = res.socket;
 		}
-		return isTaken;
+		return hasCapacity;
 	}
 
 	end(chunk?: Buffer): void {
@@ -224,15 +228,15 @@
 	}
 }
 
-const lineEnd = '\r\n';
+const crlf = '\r\n';
 
-/** A chunk as it goes over the wire (RFC 9112, section 7.1). */
-function framed(chunk: Buffer): Buffer {
-	const size = chunk.length.toString(16) + lineEnd;
-	const frame = Buffer.allocUnsafe(size.length + chunk.length + lineEnd.length);
+/** Encodes a chunk for chunked transfer coding (RFC 9112, section 7.1). */
+function encodeChunk(chunk: Buffer): Buffer {
+	const size = chunk.length.toString(16) + crlf;
+	const frame = Buffer.allocUnsafe(size.length + chunk.length + crlf.length);
 	frame.write(size, 'latin1');
 	chunk.copy(frame, size.length);
-	frame.write(lineEnd, size.length + chunk.length, 'latin1');
+	frame.write(crlf, size.length + chunk.length, 'latin1');
 	return frame;
 }
 
@@ -244,16 +248,16 @@
 	return bytes;
 }
 
-/** Refuses a request that was not read whole or cannot be read; its connection ends. */
+/** Refuses a request and closes its connection, since its body may be unread. */
 function refuse(
 	req: http.IncomingMessage,
 	res: http.ServerResponse,
 	status: number,
-	why: string,
-	comeBack = false,
+	reason: string,
+	shouldRetry = false,
 ): void {
 	const headers: http.OutgoingHttpHeaders = { 'content-type': 'text/plain' };
-	if (comeBack) {
+	if (shouldRetry) {
 		headers['retry-after'] = '0.2';
 	}
 	sendWithLingeringClose(
@@ -261,13 +265,13 @@
 		res,
 		status,
 		headers,
-		`${why}
+		`${reason}
 `,
 	);
 }
 
-/** Bytes that are no request never become one. */
-function refuseSocket(err: Error & { code?: string }, socket: stream.Duplex): void {
+/** Answers bytes that are not a valid HTTP request and closes the connection. */
+function handleClientError(err: Error & { code?: string }, socket: stream.Duplex): void {
 	if (!socket.writable || err.code === 'ECONNRESET') {
 		socket.destroy();
 		return;
--- a/src/infra/relay/row-reader.ts
+++ b/src/infra/relay/row-reader.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the fields of a decoded datagram in turn. Bytes that decode may still hold anything: another writer's, those of
- * another version, or damaged ones.
+ * Reads the fields of a decoded datagram in order and checks their types, since datagrams may be damaged,
+ * foreign or of another version.
  * @module
  */
 
@@ -11,10 +11,10 @@
 	}
 }
 
-/** Every method throws `RowError` when the next field is of another type. */
+/** Every method reads the next field and throws `RowError` when it has another type. */
 export class RowReader {
 	private readonly row: readonly unknown[];
-	private at = 0;
+	private index = 0;
 
 	constructor(row: unknown) {
 		if (!Array.isArray(row)) {
@@ -24,79 +24,76 @@
 	}
 
 	number(): number {
-		const value = this.row[this.at++];
+		const value = this.row[this.index++];
 		if (typeof value !== 'number' || !Number.isFinite(value)) {
 			throw new RowError('a number');
 		}
 		return value;
 	}
 
-	/** A number that is stored as whole thousandths. */
+	/** Reads a number stored by `toThousandths`. */
 	thousandths(): number {
 		return this.number() / 1000;
 	}
 
 	string(): string {
-		const value = this.row[this.at++];
+		const value = this.row[this.index++];
 		if (typeof value !== 'string') {
-			throw new RowError('a text');
+			throw new RowError('a string');
 		}
 		return value;
 	}
 
 	boolean(): boolean {
-		const value = this.row[this.at++];
+		const value = this.row[this.index++];
 		if (typeof value !== 'boolean') {
-			throw new RowError('a flag');
+			throw new RowError('a boolean');
 		}
 		return value;
 	}
 
-	/**
-	 * A list of numbers, so many to an entry, without a list for each: news of 78 engines come 25 times a second, and are read
-	 * and taken in within 105 to 147 us in place of 158 to 187 (1,500 from a cold start, work passed over that did not change).
-	 */
-	numbers(each: number): readonly number[] {
-		const value: unknown = this.row[this.at++];
-		if (!Array.isArray(value) || value.length % each !== 0 || !value.every(Number.isFinite)) {
-			throw new RowError(`numbers, ${each} to an entry`);
+	/** Reads a flat list of entries with `stride` numbers, which decodes faster than nested lists. */
+	numbers(stride: number): readonly number[] {
+		const value: unknown = this.row[this.index++];
+		if (!Array.isArray(value) || value.length % stride !== 0 || !value.every(Number.isFinite)) {
+			throw new RowError(`a list of entries with ${stride} numbers`);
 		}
 		return value;
 	}
 
-	/** A list of rows, each read by the function. */
+	/** Reads a list of rows with a function for each row. */
 	rows<T>(read: (row: RowReader) => T): T[] {
-		const value = this.row[this.at++];
+		const value = this.row[this.index++];
 		if (!Array.isArray(value)) {
 			throw new RowError('a list');
 		}
 		return value.map((row) => read(new RowReader(row)));
 	}
 
-	/** The same, where the list may be missing. */
+	/** Like `rows`, but returns undefined for a missing list. */
 	optionalRows<T>(read: (row: RowReader) => T): T[] | undefined {
-		const value = this.row[this.at];
+		const value = this.row[this.index];
 		if (value === undefined || value === null) {
-			this.at++;
+			this.index++;
 			return undefined;
 		}
 		return this.rows(read);
 	}
 
-	/** One row. */
+	/** Reads a field that is itself a row. */
 	nested<T>(read: (row: RowReader) => T): T {
-		return read(new RowReader(this.row[this.at++]));
+		return read(new RowReader(this.row[this.index++]));
 	}
 
-	/** @throws RowError when fields are left */
+	/** @throws RowError when fields are left over */
 	expectEnd(): void {
-		if (this.at !== this.row.length) {
-			throw new RowError(`${this.at} fields`);
+		if (this.index !== this.row.length) {
+			throw new RowError(`${this.index} fields`);
 		}
 	}
 }
 
-/** Whole thousandths take fewer bytes than fractions. */
+/** Rounds to integer thousandths, which take fewer bytes than fractions. */
 export function toThousandths(value: number): number {
 	return Math.round(value * 1000);
 }
--- a/src/infra/relay/usage-codec.ts
+++ b/src/infra/relay/usage-codec.ts
@@ -1,5 +1,5 @@
 /**
- * Counts of started requests between VMs as MessagePack.
+ * Encodes usage counts and their acknowledgements between VMs as MessagePack.
  * @module
  */
 import * as msgpack from '@msgpack/msgpack';
@@ -7,8 +7,7 @@
 import { messageTypes, wireFormatVersion } from './message-types.js';
 import type { RowReader } from './row-reader.js';
 
-/** Stands for a time that is not known. */
-const noTime = 0;
+const unknownTime = 0;
 
 export function encodeUsage(usage: UsageCounts): Uint8Array {
 	return msgpack.encode([
@@ -25,7 +24,7 @@
 	]);
 }
 
-/** @throws RowError when the row behind the type is none of counts */
+/** @throws RowError when the fields after the type are not usage counts */
 export function decodeUsage(row: RowReader): UsageCounts {
 	const usage: UsageCounts = {
 		vm: row.string(),
@@ -42,21 +41,21 @@
 }
 
 export function encodeUsageAck({ incarnation, window, total, time }: UsageAck): Uint8Array {
-	const sent = time === undefined ? noTime : Math.round(time);
+	const encodedTime = time === undefined ? unknownTime : Math.round(time);
 	return msgpack.encode([
 		wireFormatVersion,
 		messageTypes.usageAck,
 		incarnation,
 		window,
 		total,
-		sent,
+		encodedTime,
 	]);
 }
 
-/** @throws RowError when the row behind the type is no such word */
+/** @throws RowError when the fields after the type are not an acknowledgement */
 export function decodeUsageAck(row: RowReader): UsageAck {
-	const taken = { incarnation: row.number(), window: row.number(), total: row.number() };
+	const ack = { incarnation: row.number(), window: row.number(), total: row.number() };
 	const time = row.number();
 	row.expectEnd();
-	return { ...taken, time: time === noTime ? undefined : time };
+	return { ...ack, time: time === unknownTime ? undefined : time };
 }
--- a/test/steps/relay-http-server.steps.ts
+++ b/test/steps/relay-http-server.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about the callers' side alone: answers over a connection that carries several, or that is read late.
+ * Steps for the relay's HTTP server: pipelined requests and slow callers.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -16,10 +16,10 @@
 const pieceBytes = 64 * 1024;
 const log = { debug: () => {}, info: () => {}, warn: () => {}, error: () => {} };
 
-/** Writes the pieces as fast as the caller takes them. */
+/** Writes pieces and waits for the caller to read when the connection is full. */
 class PieceWriter {
-	/** Times that the caller read too slowly. */
-	waits = 0;
+	/** How often the connection was full. */
+	blockedCount = 0;
 
 	constructor(
 		private readonly res: CallerResponse,
@@ -29,10 +29,10 @@
 	}
 
 	writeFrom(first: number): void {
-		for (let at = first; at < this.pieces.length; at++) {
-			if (!this.res.write(this.pieces[at] as Buffer)) {
-				this.waits++;
-				this.res.onDrain(() => this.writeFrom(at + 1));
+		for (let index = first; index < this.pieces.length; index++) {
+			if (!this.res.write(this.pieces[index] as Buffer)) {
+				this.blockedCount++;
+				this.res.onDrain(() => this.writeFrom(index + 1));
 				return;
 			}
 		}
@@ -41,40 +41,40 @@
 }
 
 cucumber.Given(
-	'a callers’ side that answers each path with {int} pieces',
+	'an HTTP server that answers each path with {int} pieces',
 	async function (this: FleetWorld, count: number) {
 		const writers: PieceWriter[] = [];
 		const handle = (req: CallerRequest, res: CallerResponse) => {
-			const pieces = Array.from({ length: count }, (_, at) => pieceOf(req.target, at));
+			const pieces = Array.from({ length: count }, (_, index) => createPiece(req.target, index));
 			const writer = new PieceWriter(res, pieces);
 			writers.push(writer);
 			writer.writeFrom(0);
 		};
 		const clock = new SystemClock();
 		const decode = platform.decodeRequest;
-		const front = new RelayHttpServer({
+		const relayServer = new RelayHttpServer({
 			clock,
 			log,
 			decode,
 			isEventLoopLagging: () => false,
 			handle,
 		});
-		await new Promise<void>((done) => front.server.listen(0, '127.0.0.1', done));
-		this.seen.set('front', front);
+		await new Promise<void>((done) => relayServer.server.listen(0, '127.0.0.1', done));
+		this.seen.set('relayServer', relayServer);
 		this.seen.set('writers', writers);
 		this.seen.set('pieces', count);
 	},
 );
 
 cucumber.When(
-	'a caller asks for {string} by HTTP {word} and reads once {int} answers wait for it',
-	async function (this: FleetWorld, paths: string, version: string, waiting: number) {
-		const { server } = seen<RelayHttpServer>(this, 'front');
+	'a caller requests {string} with HTTP {word} and reads once {int} answers are blocked',
+	async function (this: FleetWorld, paths: string, version: string, blocked: number) {
+		const { server } = seen<RelayHttpServer>(this, 'relayServer');
 		const writers = seen<PieceWriter[]>(this, 'writers');
 		const socket = net.connect((server.address() as AddressInfo).port, '127.0.0.1');
 		socket.pause();
-		socket.write(requestsOf(paths.split(' '), version));
-		while (writers.filter(({ waits }) => waits > 0).length < waiting) {
+		socket.write(encodeRequests(paths.split(' '), version));
+		while (writers.filter(({ blockedCount }) => blockedCount > 0).length < blocked) {
 			await new Promise((done) => setImmediate(done));
 		}
 		const chunks: Buffer[] = [];
@@ -88,51 +88,53 @@
 );
 
 cucumber.Then(
-	/^it gets whole answers to "(.*)"(, in chunks)?$/,
-	function (this: FleetWorld, paths: string, inChunks: string | undefined) {
-		let rest = seen<Buffer>(this, 'read');
+	/^it receives complete answers to "(.*)"(, with chunked encoding)?$/,
+	function (this: FleetWorld, paths: string, isChunked: string | undefined) {
+		let remaining = seen<Buffer>(this, 'read');
 		for (const target of paths.split(' ')) {
-			const headEnd = rest.indexOf('\r\n\r\n') + 4;
-			assert.match(rest.toString('latin1', 0, headEnd), /^HTTP\/1.1 200 OK\r\n/);
-			rest = rest.subarray(headEnd);
-			const { body, behind } = inChunks ? unchunk(rest) : { body: rest, behind: Buffer.alloc(0) };
-			const pieces = Array.from({ length: seen<number>(this, 'pieces') }, (_, at) =>
-				pieceOf(target, at),
+			const headEnd = remaining.indexOf('\r\n\r\n') + 4;
+			assert.match(remaining.toString('latin1', 0, headEnd), /^HTTP\/1.1 200 OK\r\n/);
+			remaining = remaining.subarray(headEnd);
+			const { body, rest } = isChunked
+				? decodeChunks(remaining)
+				: { body: remaining, rest: Buffer.alloc(0) };
+			const pieces = Array.from({ length: seen<number>(this, 'pieces') }, (_, index) =>
+				createPiece(target, index),
 			);
 			assert.ok(body.equals(Buffer.concat(pieces)));
-			rest = behind;
+			remaining = rest;
 		}
-		assert.equal(rest.length, 0);
+		assert.equal(remaining.length, 0);
 	},
 );
 
-function pieceOf(target: string, at: number): Buffer {
-	return Buffer.alloc(pieceBytes, `${target} ${at} `);
+function createPiece(target: string, index: number): Buffer {
+	return Buffer.alloc(pieceBytes, `${target} ${index} `);
 }
 
-/** The last asks for the end of the connection. */
-function requestsOf(targets: readonly string[], version: string): string {
-	const heads = targets.map((target, at) => {
-		const isLast = at === targets.length - 1;
+/** Encodes requests; the last one closes the connection. */
+function encodeRequests(targets: readonly string[], version: string): string {
+	const heads = targets.map((target, index) => {
+		const isLast = index === targets.length - 1;
 		const head = [`GET ${target} HTTP/${version}`, 'host: relay.example'];
-		head.push(`slategauge-attempt-id: request-${at}`, ...(isLast ? ['connection: close'] : []));
+		head.push(`slategauge-attempt-id: request-${index}`, ...(isLast ? ['connection: close'] : []));
 		return `${head.join('\r\n')}\r\n\r\n`;
 	});
 	return heads.join('');
 }
 
-/** Cuts the first body in chunks off the bytes. */
-function unchunk(bytes: Buffer): { body: Buffer; behind: Buffer } {
+/** Decodes the chunked body at the start of the bytes. */
+function decodeChunks(bytes: Buffer): { body: Buffer; rest: Buffer } {
 	const chunks: Buffer[] = [];
-	for (let at = 0; ; ) {
-		const sizeEnd = bytes.indexOf('\r\n', at);
-		const size = Number.parseInt(bytes.toString('latin1', at, sizeEnd), 16);
+	for (let index = 0; ; ) {
+		const sizeEnd = bytes.indexOf('\r\n', index);
+		const size = Number.parseInt(bytes.toString('latin1', index, sizeEnd), 16);
 		const end = sizeEnd + 2 + size;
 		assert.equal(bytes.toString('latin1', end, end + 2), '\r\n');
 		if (size === 0) {
-			return { body: Buffer.concat(chunks), behind: bytes.subarray(end + 2) };
+			return { body: Buffer.concat(chunks), rest: bytes.subarray(end + 2) };
 		}
 		chunks.push(bytes.subarray(sizeEnd + 2, end));
-		at = end + 2;
+		index = end + 2;
 	}
 }
--- a/test/steps/relay-transfers.steps.ts
+++ b/test/steps/relay-transfers.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about copies of configurations between VMs.
+ * Steps for transfers of configurations between VMs and for requests of disconnected callers.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -12,24 +12,24 @@
 import type { FleetWorld } from './world.js';
 
 const path = '/configuration';
-const opened = new WeakMap<FleetWorld, (() => void)[]>();
+const closersByWorld = new WeakMap<FleetWorld, (() => void)[]>();
 
-function closeLater(world: FleetWorld, close: () => void): void {
-	opened.set(world, [...(opened.get(world) ?? []), close]);
+function closeAfterScenario(world: FleetWorld, close: () => void): void {
+	closersByWorld.set(world, [...(closersByWorld.get(world) ?? []), close]);
 }
 
 cucumber.After(function (this: FleetWorld) {
-	for (const close of opened.get(this) ?? []) {
+	for (const close of closersByWorld.get(this) ?? []) {
 		close();
 	}
 });
 
-/** A configuration whose names are as hard to compress as real ones. */
+/** Returns a configuration with random names, which compress as badly as real ones. */
 function configurationText(routes: number): string {
-	const next = seededRandom(5);
+	const random = seededRandom(5);
 	const word = (length: number) =>
-		Array.from({ length }, () => Math.floor(next() * 36).toString(36)).join('');
-	const one = () => ({
+		Array.from({ length }, () => Math.floor(random() * 36).toString(36)).join('');
+	const createRoute = () => ({
 		name: `r-${word(7)}`,
 		hostname: `${word(6)}.example`,
 		'path-prefix': `/${word(7)}/`,
@@ -40,18 +40,18 @@
 		service: 'web',
 		'max-attempts': 2,
 	});
-	return JSON.stringify({ version: 7, routes: Array.from({ length: routes }, one) });
+	return JSON.stringify({ version: 7, routes: Array.from({ length: routes }, createRoute) });
 }
 
-function newTransfers(world: FleetWorld, text?: string): PeerTransfers {
+function createTransfers(world: FleetWorld, text?: string): PeerTransfers {
 	const transfers = new PeerTransfers({ log: silentLog, getDocument: () => text });
-	closeLater(world, () => transfers.close());
+	closeAfterScenario(world, () => transfers.close());
 	return transfers;
 }
 
-/** Counts the bytes that a server sends, and the answers that it sends at a time. */
-function watchSends(world: FleetWorld, transfers: PeerTransfers): void {
-	const sends = { bytes: 0, open: 0, most: 0 };
+/** Counts the bytes that a server sends and its concurrent answers. */
+function countSends(world: FleetWorld, transfers: PeerTransfers): void {
+	const sends = { bytes: 0, open: 0, max: 0 };
 	transfers.server.on('connection', (socket: net.Socket) => {
 		socket.on('close', () => {
 			sends.bytes += socket.bytesWritten;
@@ -61,7 +61,7 @@
 		const end = res.end.bind(res);
 		res.end = (...args: never[]) => {
 			sends.open++;
-			sends.most = Math.max(sends.most, sends.open);
+			sends.max = Math.max(sends.max, sends.open);
 			res.on('close', () => sends.open--);
 			return end(...args);
 		};
@@ -70,7 +70,7 @@
 }
 
 async function addressOf(server: net.Server): Promise<string> {
-	await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
+	await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
 	return `127.0.0.1:${(server.address() as net.AddressInfo).port}`;
 }
 
@@ -78,69 +78,72 @@
 	'a VM that has a configuration of {int} routes',
 	async function (this: FleetWorld, routes: number) {
 		const text = configurationText(routes);
-		const source = newTransfers(this, text);
-		// Seen before the server's own listener, so that each answer is counted.
+		const source = createTransfers(this, text);
+		// Registered before the server's own listener, to count every answer.
 		const [serve] = source.server.listeners('request') as ((...args: unknown[]) => void)[];
 		source.server.removeAllListeners('request');
-		watchSends(this, source);
+		countSends(this, source);
 		source.server.on('request', serve as (...args: unknown[]) => void);
 		this.seen.set('text', text);
 		this.seen.set('source', await addressOf(source.server));
 	},
 );
 
-cucumber.Given('a VM that accepts calls and says nothing', async function (this: FleetWorld) {
-	const sockets: net.Socket[] = [];
-	const server = net.createServer((socket) => sockets.push(socket));
-	closeLater(this, () => {
-		server.close();
-		for (const socket of sockets) {
-			socket.destroy();
-		}
-	});
-	this.seen.set('silent', await addressOf(server));
+cucumber.Given(
+	'a VM that accepts connections but sends nothing',
+	async function (this: FleetWorld) {
+		const sockets: net.Socket[] = [];
+		const server = net.createServer((socket) => sockets.push(socket));
+		closeAfterScenario(this, () => {
+			server.close();
+			for (const socket of sockets) {
+				socket.destroy();
+			}
+		});
+		this.seen.set('unresponsive', await addressOf(server));
+	},
+);
+
+cucumber.When('{int} VMs fetch it concurrently', async function (this: FleetWorld, count: number) {
+	const members = Array.from({ length: count }, () => createTransfers(this));
+	const source = seen<string>(this, 'source');
+	this.seen.set('received', await Promise.all(members.map((vm) => vm.fetch(source, path))));
+	for (const vm of members) {
+		vm.close();
+	}
+	await new Promise((done) => setTimeout(done, 50));
 });
 
 cucumber.When(
-	'{int} VMs fetch it from that VM at once',
-	async function (this: FleetWorld, count: number) {
-		const members = Array.from({ length: count }, () => newTransfers(this));
-		const source = seen<string>(this, 'source');
-		this.seen.set('got', await Promise.all(members.map((vm) => vm.fetch(source, path))));
-		for (const vm of members) {
-			vm.close();
-		}
-		await new Promise((done) => setTimeout(done, 50));
+	'a VM fetches the configuration from the unresponsive VM',
+	function (this: FleetWorld) {
+		const member = createTransfers(this);
+		this.seen.set('member', member);
+		void member.fetch(seen<string>(this, 'unresponsive'), path);
 	},
 );
 
-cucumber.When('the configuration is fetched from the silent VM', function (this: FleetWorld) {
-	const member = newTransfers(this);
-	this.seen.set('member', member);
-	void member.fetch(seen<string>(this, 'silent'), path);
-});
-
-cucumber.When('{int} ms later from the other', async function (this: FleetWorld, ms: number) {
+cucumber.When('{int} ms later from the other VM', async function (this: FleetWorld, ms: number) {
 	await new Promise((done) => setTimeout(done, ms));
 	const member = seen<PeerTransfers>(this, 'member');
-	this.seen.set('got', [await member.fetch(seen<string>(this, 'source'), path)]);
+	this.seen.set('received', [await member.fetch(seen<string>(this, 'source'), path)]);
 });
 
-cucumber.Then('each has the configuration as it was', function (this: FleetWorld) {
-	for (const text of seen<(string | undefined)[]>(this, 'got')) {
+cucumber.Then('each received the unchanged configuration', function (this: FleetWorld) {
+	for (const text of seen<(string | undefined)[]>(this, 'received')) {
 		assert.ok(text === seen<string>(this, 'text'), `${text?.length} characters`);
 	}
 });
 
 cucumber.Then(
-	'at most {int} copies were sent at a time',
-	function (this: FleetWorld, most: number) {
-		assert.ok(seen<{ most: number }>(this, 'sends').most <= most);
+	'at most {int} transfers ran concurrently',
+	function (this: FleetWorld, limit: number) {
+		assert.ok(seen<{ max: number }>(this, 'sends').max <= limit);
 	},
 );
 
 cucumber.Then(
-	'a link of {int} Mbit\\/s carries all copies within {int} ms',
+	'a link of {int} Mbit\\/s carries all transfers within {int} ms',
 	function (this: FleetWorld, mbit: number, ms: number) {
 		const { bytes } = seen<{ bytes: number }>(this, 'sends');
 		assert.ok(bytes > 0);
@@ -149,42 +152,42 @@
 	},
 );
 
-cucumber.Given('a front for callers', async function (this: FleetWorld) {
-	const handed: string[] = [];
-	const front = new RelayHttpServer({
+cucumber.Given('an HTTP server whose event loop lags', async function (this: FleetWorld) {
+	const forwarded: string[] = [];
+	const relayServer = new RelayHttpServer({
 		clock: clockOf(this),
 		log: silentLog,
 		decode: ({ target }) => ({ target }) as CallerRequest,
 		isEventLoopLagging: () => true,
 		handle: ({ target }, res) => {
-			handed.push(target);
+			forwarded.push(target);
 			res.writeHead(200, ['Content-Length', '0']);
 			res.end();
 		},
 	});
-	closeLater(this, () => {
-		front.server.close();
-		front.server.closeAllConnections();
+	closeAfterScenario(this, () => {
+		relayServer.server.close();
+		relayServer.server.closeAllConnections();
 	});
-	this.seen.set('handed', handed);
-	this.seen.set('front', await addressOf(front.server));
+	this.seen.set('forwarded', forwarded);
+	this.seen.set('server', await addressOf(relayServer.server));
 });
 
-async function connected(address: string): Promise<net.Socket> {
+async function connect(address: string): Promise<net.Socket> {
 	const [host, port] = address.split(':');
 	const socket = net.connect(Number(port), host);
 	socket.on('error', () => {});
 	await new Promise<void>((done) => socket.once('connect', done));
-	// The front has taken the connection.
+	// Lets the server accept the connection.
 	await new Promise((done) => setTimeout(done, 20));
 	return socket;
 }
 
 cucumber.When(
-	'a caller sends a request and hangs up while the VM is busy',
+	'a caller sends a request and disconnects before the server reads it',
 	async function (this: FleetWorld) {
-		const socket = await connected(seen<string>(this, 'front'));
-		// Both reach the front before its loop turns again.
+		const socket = await connect(seen<string>(this, 'server'));
+		// The server reads both in the same iteration of the event loop.
 		socket.write('GET /left HTTP/1.1\r\nhost: a.example\r\n\r\n');
 		socket.destroy();
 		await new Promise((done) => setTimeout(done, 50));
@@ -192,12 +195,12 @@
 );
 
 cucumber.When('another caller sends a request', async function (this: FleetWorld) {
-	const socket = await connected(seen<string>(this, 'front'));
+	const socket = await connect(seen<string>(this, 'server'));
 	socket.write('GET /stays HTTP/1.1\r\nhost: a.example\r\n\r\n');
 	await new Promise<void>((done) => socket.once('data', () => done()));
 	socket.destroy();
 });
 
-cucumber.Then('only the request of the other is handed on', function (this: FleetWorld) {
-	assert.deepEqual(seen<string[]>(this, 'handed'), ['/stays']);
+cucumber.Then('only the request of the other caller is forwarded', function (this: FleetWorld) {
+	assert.deepEqual(seen<string[]>(this, 'forwarded'), ['/stays']);
 });
