--- a/src/daemon/relay/cost-report.ts
+++ b/src/daemon/relay/cost-report.ts
@@ -9,7 +9,7 @@
 import type { CostSample } from '../../infra/relay/prometheus-metrics.js';
 
 /** Time between two lines of one service, in milliseconds: estimates settle within a few seconds. */
-export const costReportMs = 5000;
+export const costReportIntervalMs = 5000;
 
 /** Engines named in the line of a service: enough to tell a slow machine from a slow service. */
 const mostNamed = 3;
--- a/src/daemon/relay/loop-watch.ts
+++ b/src/daemon/relay/event-loop-monitor.ts
@@ -5,28 +5,28 @@
 import type { Clock, Log } from '../../core/definitions.js';
 
 /** Time between two looks, in milliseconds. */
-export const tickMs = 100;
+export const tickIntervalMs = 100;
 
-export interface LoopWatchOptions {
+export interface EventLoopMonitorOptions {
 	clock: Clock & { readonly suspendedMs: number };
 	log: Log;
 	onDelay: (ms: number) => void;
 	onSuspended: () => void;
 }
 
-export class LoopWatch {
+export class EventLoopMonitor {
 	private tickedAt: number;
 	private lastDelayMs = 0;
 	private suspendedMs = 0;
 
-	constructor(private readonly opts: LoopWatchOptions) {
+	constructor(private readonly opts: EventLoopMonitorOptions) {
 		this.tickedAt = opts.clock.sinceBoot();
 	}
 
 	/** How late the loop is, in milliseconds: the tick that is due, or the last one. */
 	get delayMs(): number {
 		const sinceMs = this.opts.clock.sinceBoot() - this.tickedAt;
-		return Math.max(0, sinceMs - tickMs, this.lastDelayMs);
+		return Math.max(0, sinceMs - tickIntervalMs, this.lastDelayMs);
 	}
 
 	/** The ticks begin now. */
@@ -36,7 +36,7 @@
 
 	tick(): void {
 		const now = this.opts.clock.sinceBoot();
-		this.lastDelayMs = Math.max(0, now - this.tickedAt - tickMs);
+		this.lastDelayMs = Math.max(0, now - this.tickedAt - tickIntervalMs);
 		this.tickedAt = now;
 		this.opts.onDelay(this.lastDelayMs);
 		this.noteSuspension();
--- a/src/daemon/relay/fleet-links.ts
+++ b/src/daemon/relay/fleet-coordinator.ts
@@ -19,9 +19,9 @@
 import type { FleetDuties } from './fleet-duties.js';
 import { LimitExchange } from './limit-exchange.js';
 import { PeerExchange } from './peer-exchange.js';
-import type { StoreReading } from './store-reading.js';
+import type { StoreSync } from './store-sync.js';
 
-export interface FleetLinksOptions {
+export interface FleetCoordinatorOptions {
 	settings: () => RelaySettings;
 	clock: Clock;
 	random: Random;
@@ -30,17 +30,17 @@
 	/** Prefix of the keys of all VMs. */
 	vmPrefix: string;
 	/** Tells this process from an earlier one of the same VM. */
-	life: number;
+	incarnation: number;
 	costs: CostModel;
 	quarantine: Quarantine;
 	engines: EngineDirectory;
 	configuration: () => ConfigurationState;
-	reading: () => StoreReading;
+	storeSync: () => StoreSync;
 	duties: () => FleetDuties | undefined;
 	sleep: (ms: number) => Promise<void>;
 }
 
-export class FleetLinks {
+export class FleetCoordinator {
 	readonly fleet: FleetView;
 	readonly registry: VmRegistry;
 	readonly peers: PeerExchange;
@@ -49,8 +49,8 @@
 	private readonly limitExchange: LimitExchange;
 	private readonly size = new FleetSize();
 
-	constructor(private readonly opts: FleetLinksOptions) {
-		const { clock, random, log, engines, configuration, reading, duties } = opts;
+	constructor(private readonly opts: FleetCoordinatorOptions) {
+		const { clock, random, log, engines, configuration, storeSync: reading, duties } = opts;
 		const { vm, listen } = opts.settings();
 		const { id: name, domain, cores } = vm;
 		const self: RegisteredVm = { name, domain, cores, address: listen.peers };
@@ -59,13 +59,13 @@
 			log,
 			random,
 			self,
-			listed: () => this.registry.others(),
+			otherVms: () => this.registry.others(),
 			engineId: (ref) => engines.findByRef(ref)?.id,
 			heardVms: () => this.fleet.size,
-			vms: () => this.knownVms,
-			sendAsk: (to, ask) => this.peers.sendPermitAsk(to, ask),
-			sendAnswer: (to, answer) => this.peers.sendPermitAnswer(to, answer),
-			onNews: () => this.peers.changed(),
+			vms: () => this.vmCount,
+			sendPermitRequest: (to, ask) => this.peers.sendPermitRequest(to, ask),
+			sendPermitResponse: (to, answer) => this.peers.sendPermitResponse(to, answer),
+			onNews: () => this.peers.markChanged(),
 		});
 		const { limits } = this.limitExchange;
 		this.limits = limits;
@@ -74,7 +74,7 @@
 			log,
 			random,
 			countLiveVms: () => this.fleet.size,
-			onUpdate: () => this.peers.changed(),
+			onUpdate: () => this.peers.markChanged(),
 			engineId: (ref) => engines.findByRef(ref)?.id,
 		});
 		this.fleet = new FleetView({
@@ -82,12 +82,12 @@
 			address: addressOf(listen.peers),
 			clock,
 			log,
-			incarnation: opts.life,
+			incarnation: opts.incarnation,
 			onNewerConfiguration: (address) => void this.peers.fetchConfiguration(address),
 			costs: opts.costs,
 			answers: this.health,
-			storeStatus: () => reading().news(),
-			onStoreStatus: (address, store) => reading().heard(address, store),
+			storeStatus: () => reading().getStoreStatus(),
+			onStoreStatus: (address, store) => reading().handlePeerStatus(address, store),
 			crashes: opts.quarantine.ledger,
 			limits,
 		});
@@ -99,8 +99,8 @@
 			prefix: opts.vmPrefix,
 			self,
 			sleep: opts.sleep,
-			renewalIntervalMs: () => reading().renewMs,
-			isStoreUnavailable: () => reading().isAway,
+			renewalIntervalMs: () => reading().renewalIntervalMs,
+			isStoreUnavailable: () => reading().isStoreUnavailable,
 			onStoreUnreachable: () => reading().restart(),
 		});
 		this.peers = new PeerExchange({
@@ -108,22 +108,22 @@
 			log,
 			self,
 			fleet: this.fleet,
-			listed: () => this.registry.others(),
+			otherVms: () => this.registry.others(),
 			seeds: () => this.seeds(),
-			configuration: () => configuration().text,
-			offer: (text, source) => configuration().applyIfNewer(text, source),
-			engines: (since) => reading().enginesSince(since),
-			takeEngines: (text) => engines.applyCopy(text),
+			configurationText: () => configuration().text,
+			applyConfigurationIfNewer: (text, source) => configuration().applyIfNewer(text, source),
+			exportEngines: (since) => reading().exportEngines(since),
+			applyEngines: (text) => engines.applyCopy(text),
 			enginesRevision: () => engines.revision,
 			onUsage: (usage) => duties()?.receiveUsage(usage),
-			onUsageTaken: (taken) => duties()?.receiveTaken(taken),
-			onPermitAsk: (ask) => limits.handlePermitRequest(ask),
-			onPermitAnswer: (answer) => limits.handlePermitResponse(answer),
+			onUsageAck: (taken) => duties()?.handleUsageAck(taken),
+			onPermitRequest: (ask) => limits.handlePermitRequest(ask),
+			onPermitResponse: (answer) => limits.handlePermitResponse(answer),
 		});
 	}
 
 	/** VMs of the fleet, silent ones included; undefined while not known. */
-	get knownVms(): number | undefined {
+	get vmCount(): number | undefined {
 		const { fleet, registry, opts } = this;
 		return this.size.count(fleet.size, registry.size, opts.clock.monotonic());
 	}
--- a/src/daemon/relay/fleet-duties.ts
+++ b/src/daemon/relay/fleet-duties.ts
@@ -23,15 +23,15 @@
 import type { UsageRecorder } from '../../core/relay/types.js';
 import type { Service } from '../../core/routing/types.js';
 import type { Store } from '../../core/store/definitions.js';
-import type { StoreReading } from './store-reading.js';
+import type { StoreSync } from './store-sync.js';
 
 /** Counts are kept for so many times the delay that a report may have: by then it was made, or is of no use. */
 const keptDelays = 2;
 
 /** Messages about counts to other VMs. */
-export interface UsageMessages {
+export interface UsageTransport {
 	sendUsage(to: HostPort, usage: UsageCounts): void;
-	sendUsageTaken(to: HostPort, taken: UsageAck): void;
+	sendUsageAck(to: HostPort, taken: UsageAck): void;
 }
 
 export interface FleetDutiesOptions {
@@ -39,7 +39,7 @@
 	sizing: SizingStrategy;
 	vm: string;
 	/** Tells this process from an earlier one of the same VM. */
-	life: number;
+	incarnation: number;
 	/** Where this VM hears others, as IP:PORT. */
 	address: string;
 	api: DutyApi;
@@ -51,11 +51,11 @@
 	fleet: FleetView;
 	engines: EngineDirectory;
 	limits: LimitLedger;
-	reading: () => StoreReading;
-	messages: () => UsageMessages;
+	storeSync: () => StoreSync;
+	transport: () => UsageTransport;
 	/** Services of the configuration in force. */
 	services: () => readonly Service[];
-	registeredVms: () => number | undefined;
+	registeredVmCount: () => number | undefined;
 	/** Names of those VMs. */
 	vmNames: () => readonly string[];
 	/** Something that the other VMs should know at once. */
@@ -74,7 +74,7 @@
 	readonly totals = { reported: 0, missed: 0, orders: 0 };
 
 	constructor(private readonly opts: FleetDutiesOptions) {
-		const { settings, store, clock, random, log, vm, life, address, api, keys } = opts;
+		const { settings, store, clock, random, log, vm, incarnation: life, address, api, keys } = opts;
 		const { windowMs, usageDelayMs: delayMs, leaseMs, checksTokens } = settings;
 		this.time = new FleetClock(clock);
 		const time = () => this.time.now();
@@ -88,8 +88,8 @@
 			key: keys.holder,
 			leaseMs,
 			checksTokens,
-			rank: () => opts.reading().dutyRank,
-			isIsolated: () => opts.fleet.size === 1 && (opts.registeredVms() ?? 1) > 1,
+			rank: () => opts.storeSync().dutyRank,
+			isIsolated: () => opts.fleet.size === 1 && (opts.registeredVmCount() ?? 1) > 1,
 			otherHolderToken: () => opts.fleet.dutyHolder(maxContactAgeMs)?.dutyToken,
 			onChanged: opts.onChanged,
 		});
@@ -132,7 +132,7 @@
 	}
 
 	/** The token under which this VM acts for the fleet; undefined while it does not. */
-	get token(): number | undefined {
+	get fencingToken(): number | undefined {
 		return this.holder.token;
 	}
 
@@ -142,7 +142,7 @@
 	}
 
 	/** The store came back from an older copy: what the duty goes by there may be gone. */
-	restored(): void {
+	handleStoreRestored(): void {
 		this.reporter.handleStoreRestored();
 		this.holder.handleStoreRestored();
 	}
@@ -171,7 +171,7 @@
 
 	/** Another VM, or this one, tells what it counted. */
 	receiveUsage(usage: UsageCounts): void {
-		if (this.token === undefined) {
+		if (this.fencingToken === undefined) {
 			return;
 		}
 		const taken = this.collector.merge(usage);
@@ -183,15 +183,15 @@
 	}
 
 	/** The holder has taken in what this VM told. */
-	receiveTaken(taken: UsageAck): void {
+	handleUsageAck(taken: UsageAck): void {
 		this.sender.handleAck(taken);
-		if (taken.time !== undefined && this.token === undefined) {
+		if (taken.time !== undefined && this.fencingToken === undefined) {
 			this.setClock(taken.time - this.time.now());
 		}
 	}
 
 	private get holderAddress(): string | undefined {
-		const isHolder = this.token !== undefined;
+		const isHolder = this.fencingToken !== undefined;
 		return isHolder ? this.opts.address : this.opts.fleet.dutyHolder(maxContactAgeMs)?.address;
 	}
 
@@ -199,22 +199,26 @@
 		if (to === this.opts.address) {
 			this.receiveUsage(usage);
 		} else {
-			this.opts.messages().sendUsage(parseAddress(to), usage);
+			this.opts.transport().sendUsage(parseAddress(to), usage);
 		}
 	}
 
 	private answer(to: string, taken: UsageAck): void {
 		if (to === this.opts.address) {
-			this.receiveTaken(taken);
+			this.handleUsageAck(taken);
 		} else {
-			this.opts.messages().sendUsageTaken(parseAddress(to), taken);
+			this.opts.transport().sendUsageAck(parseAddress(to), taken);
 		}
 	}
 
 	/** The holder's own clock may be the wrong one. */
 	private setClockRight(): void {
 		const differenceMs = this.collector.medianClockOffsetMs(this.opts.fleet.size);
-		if (this.token !== undefined && differenceMs !== undefined && this.setClock(differenceMs)) {
+		if (
+			this.fencingToken !== undefined &&
+			differenceMs !== undefined &&
+			this.setClock(differenceMs)
+		) {
 			this.collector.resetClockOffsets();
 		}
 	}
@@ -268,7 +272,7 @@
 
 	/** Of a fleet of which it hears less than half, a VM knows too little to order for it. */
 	private get isUpToDate(): boolean {
-		const { fleet, registeredVms, reading } = this.opts;
+		const { fleet, registeredVmCount: registeredVms, storeSync: reading } = this.opts;
 		const hearsFleet = fleet.size * 2 >= (registeredVms() ?? Number.POSITIVE_INFINITY);
 		return hearsFleet && reading().isUpToDate;
 	}
--- a/src/daemon/relay/planned-stop.ts
+++ b/src/daemon/relay/graceful-shutdown.ts
@@ -9,11 +9,11 @@
  * Streams are still taken for so long after the stop signal: the balancer asks each second, needs
  * two misses, and callers go on using kept connections. Later ones might not end before the kill.
  */
-export const takeStreamsMs = 2900;
+export const streamAcceptanceMs = 2900;
 /** What has not ended so long before the kill is cut, in milliseconds. */
 const cutBeforeKillMs = 300;
 
-export class PlannedStop {
+export class GracefulShutdown {
 	/** When the stop signal came, in monotonic milliseconds. */
 	private since?: number;
 
@@ -28,12 +28,12 @@
 	}
 
 	/** Milliseconds since the stop signal. */
-	get tookMs(): number {
+	get elapsedMs(): number {
 		return this.clock.monotonic() - (this.since ?? this.clock.monotonic());
 	}
 
 	/** Whether what has not ended is cut now. */
-	get isOver(): boolean {
+	get isDeadlineReached(): boolean {
 		return this.since !== undefined && this.clock.monotonic() >= this.cutAt(this.since);
 	}
 
@@ -47,7 +47,7 @@
 			return undefined;
 		}
 		const latest = route.isStreamed
-			? this.since + takeStreamsMs
+			? this.since + streamAcceptanceMs
 			: this.cutAt(this.since) - route.timeoutMs;
 		return this.clock.monotonic() > latest ? 'the daemon stops' : undefined;
 	}
--- a/src/daemon/relay/limit-exchange.ts
+++ b/src/daemon/relay/limit-exchange.ts
@@ -21,14 +21,14 @@
 	random: Random;
 	self: RegisteredVm;
 	/** Other VMs that are registered. */
-	listed: () => readonly RegisteredVm[];
+	otherVms: () => readonly RegisteredVm[];
 	engineId: (engine: EngineRef) => string | undefined;
 	/** VMs that this one hears of now, itself included. */
 	heardVms: () => number;
 	/** VMs of the fleet, silent ones included; undefined while not known. */
 	vms: () => number | undefined;
-	sendAsk: (to: HostPort, ask: PermitRequest) => void;
-	sendAnswer: (to: HostPort, answer: PermitResponse) => void;
+	sendPermitRequest: (to: HostPort, ask: PermitRequest) => void;
+	sendPermitResponse: (to: HostPort, answer: PermitResponse) => void;
 	/** Other VMs should hear of something. */
 	onNews: () => void;
 }
@@ -38,7 +38,13 @@
 	private readonly timer: DueTimer;
 
 	constructor(opts: LimitExchangeOptions) {
-		const { self, listed, sendAsk, sendAnswer, ...ports } = opts;
+		const {
+			self,
+			otherVms: listed,
+			sendPermitRequest: sendAsk,
+			sendPermitResponse: sendAnswer,
+			...ports
+		} = opts;
 		this.limits = new FleetLimits({
 			...ports,
 			ownAddress: addressOf(self.address),
--- a/src/daemon/relay/peer-exchange.ts
+++ b/src/daemon/relay/peer-exchange.ts
@@ -26,24 +26,24 @@
 	self: RegisteredVm;
 	fleet: FleetView;
 	/** Other VMs that are registered. */
-	listed: () => readonly RegisteredVm[];
+	otherVms: () => readonly RegisteredVm[];
 	/** VMs to ask before any is known. */
 	seeds: () => readonly HostPort[];
 	/** The configuration in force as text. */
-	configuration: () => string | undefined;
-	offer: (text: string, source: string) => void;
+	configurationText: () => string | undefined;
+	applyConfigurationIfNewer: (text: string, source: string) => void;
 	/** Engines changed since a revision, as text; undefined while this VM itself does not read the store. */
-	engines: (since: number) => string | undefined;
+	exportEngines: (since: number) => string | undefined;
 	/** @returns false when the copy needs registrations that it does not hold */
-	takeEngines: (text: string) => boolean;
+	applyEngines: (text: string) => boolean;
 	/** Revision of the store that this VM's engines show. */
 	enginesRevision: () => number;
 	/** A VM tells what it counted, or that it has taken in what this VM counted. */
 	onUsage: (usage: UsageCounts) => void;
-	onUsageTaken: (taken: UsageAck) => void;
+	onUsageAck: (taken: UsageAck) => void;
 	/** A VM asks for a permit, or answers an ask of this VM. */
-	onPermitAsk: (ask: PermitRequest) => void;
-	onPermitAnswer: (answer: PermitResponse) => void;
+	onPermitRequest: (ask: PermitRequest) => void;
+	onPermitResponse: (answer: PermitResponse) => void;
 }
 
 export class PeerExchange {
@@ -53,13 +53,13 @@
 	private readonly timer: DueTimer;
 
 	constructor(private readonly opts: PeerExchangeOptions) {
-		const { clock, log, self, fleet, listed, seeds } = opts;
+		const { clock, log, self, fleet, otherVms: listed, seeds } = opts;
 		this.datagrams = new PeerDatagramSocket(log, {
 			onGossip: (news) => this.receive(news),
 			onUsage: (usage) => this.opts.onUsage(usage),
-			onUsageAck: (taken) => this.opts.onUsageTaken(taken),
-			onPermitRequest: (ask) => this.opts.onPermitAsk(ask),
-			onPermitResponse: (answer) => this.opts.onPermitAnswer(answer),
+			onUsageAck: (taken) => this.opts.onUsageAck(taken),
+			onPermitRequest: (ask) => this.opts.onPermitRequest(ask),
+			onPermitResponse: (answer) => this.opts.onPermitResponse(answer),
 		});
 		this.news = new GossipExchange({
 			clock,
@@ -93,7 +93,7 @@
 	}
 
 	/** How long no news were sent, in milliseconds. */
-	get silentForMs(): number {
+	get sinceLastSendMs(): number {
 		return this.news.sinceLastSendMs;
 	}
 
@@ -101,20 +101,20 @@
 		this.datagrams.sendUsage(to, usage);
 	}
 
-	sendUsageTaken(to: HostPort, taken: UsageAck): void {
+	sendUsageAck(to: HostPort, taken: UsageAck): void {
 		this.datagrams.sendUsageAck(to, taken);
 	}
 
-	sendPermitAsk(to: HostPort, ask: PermitRequest): void {
+	sendPermitRequest(to: HostPort, ask: PermitRequest): void {
 		this.datagrams.sendPermitRequest(to, ask);
 	}
 
-	sendPermitAnswer(to: HostPort, answer: PermitResponse): void {
+	sendPermitResponse(to: HostPort, answer: PermitResponse): void {
 		this.datagrams.sendPermitResponse(to, answer);
 	}
 
 	/** Something changed that peers should know. */
-	changed(): void {
+	markChanged(): void {
 		this.news.markChanged();
 		this.timer.arm();
 	}
@@ -134,7 +134,7 @@
 	async fetchConfiguration(address: string): Promise<void> {
 		const text = await this.transfers.fetch(address, configurationPath);
 		if (text !== undefined) {
-			this.opts.offer(text, `peer ${address}`);
+			this.opts.applyConfigurationIfNewer(text, `peer ${address}`);
 		}
 	}
 
@@ -154,7 +154,7 @@
 	/** @returns whether it was enough; what cannot be read is logged, since asking again brings the same */
 	private takeEngines(address: string, text: string): boolean {
 		try {
-			return this.opts.takeEngines(text);
+			return this.opts.applyEngines(text);
 		} catch (err) {
 			this.opts.log.error('engines.unreadable', { peer: address, error: (err as Error).message });
 			return true;
@@ -162,7 +162,7 @@
 	}
 
 	/** Tells peers at once of something that cannot wait. */
-	announce(): void {
+	sendNow(): void {
 		this.news.sendNow();
 		this.timer.arm();
 	}
@@ -181,9 +181,9 @@
 	private textOf(target: string): string | undefined {
 		const { pathname, searchParams } = new URL(target, 'http://peer');
 		if (pathname === configurationPath) {
-			return this.opts.configuration();
+			return this.opts.configurationText();
 		}
 		const since = Number(searchParams.get('since') ?? 0);
-		return pathname === enginesPath ? this.opts.engines(since) : undefined;
+		return pathname === enginesPath ? this.opts.exportEngines(since) : undefined;
 	}
 }
--- a/src/daemon/relay/relay-daemon.ts
+++ b/src/daemon/relay/relay-daemon.ts
@@ -25,13 +25,13 @@
 import { SystemRandom } from '../../infra/system-random.js';
 import * as platform from '../../platform/index.js';
 import { listenOn } from '../listen.js';
-import { CostReport, costReportMs } from './cost-report.js';
+import { CostReport, costReportIntervalMs } from './cost-report.js';
+import { EventLoopMonitor, tickIntervalMs } from './event-loop-monitor.js';
+import { FleetCoordinator } from './fleet-coordinator.js';
 import { FleetDuties } from './fleet-duties.js';
-import { FleetLinks } from './fleet-links.js';
-import { LoopWatch, tickMs } from './loop-watch.js';
-import { PlannedStop, takeStreamsMs } from './planned-stop.js';
-import { StoreReading } from './store-reading.js';
+import { GracefulShutdown, streamAcceptanceMs } from './graceful-shutdown.js';
 import { StoreRestoration } from './store-restoration.js';
+import { StoreSync } from './store-sync.js';
 
 /** Callers may have left meanwhile when the loop is so late, in milliseconds: a quarter of the shortest time they wait. */
 const lateMs = 100;
@@ -56,9 +56,9 @@
 	private readonly budget: RetryBudget;
 	private readonly costs = new CostModel();
 	private readonly costReport: CostReport;
-	private readonly reading: StoreReading;
+	private readonly reading: StoreSync;
 	private readonly restoration: StoreRestoration;
-	private readonly links: FleetLinks;
+	private readonly links: FleetCoordinator;
 	/** Absent where nothing is done for the whole fleet. */
 	private readonly duties?: FleetDuties;
 	private readonly dutyApi?: platform.PlatformDutyApi;
@@ -70,8 +70,8 @@
 	private readonly metricsServer: http.Server;
 	private readonly timers: NodeJS.Timeout[] = [];
 	private readonly startedAt = this.clock.monotonic();
-	private readonly watch: LoopWatch;
-	private readonly planned: PlannedStop;
+	private readonly watch: EventLoopMonitor;
+	private readonly planned: GracefulShutdown;
 
 	constructor(
 		private settings: RelaySettings,
@@ -83,12 +83,12 @@
 		const { clock, random, transport } = this;
 		const life = Math.floor(random.next() * 2 ** 32);
 		this.store = new platform.PlatformStore(settings.store.address, clock, ({ era }) => {
-			this.restoration.restored(era);
+			this.restoration.handleRestored(era);
 		});
 		this.quarantine = new Quarantine({
 			clock,
 			log,
-			onNews: () => this.links.peers.changed(),
+			onNews: () => this.links.peers.markChanged(),
 			isPortClosed: (address) => transport.isPortClosed(address),
 		});
 		this.engines = new EngineDirectory({
@@ -104,22 +104,22 @@
 					this.quarantine.recordEngineCrash(engine.ref);
 				}
 			},
-			onChanged: () => this.reading.changed(),
+			onChanged: () => this.reading.announceChange(),
 			onLoaded: () => this.startHold.release(),
 		});
-		this.links = new FleetLinks({
+		this.links = new FleetCoordinator({
 			settings: () => this.settings,
 			clock,
 			random,
 			log,
 			store: this.store,
 			vmPrefix: platform.keys.vms,
-			life,
+			incarnation: life,
 			costs: this.costs,
 			quarantine: this.quarantine,
 			engines: this.engines,
 			configuration: () => this.configuration,
-			reading: () => this.reading,
+			storeSync: () => this.reading,
 			duties: () => this.duties,
 			sleep,
 		});
@@ -141,11 +141,11 @@
 			onApplied: (table) => {
 				fleet.configurationVersion = table.version;
 				this.front.configure(table.configuration.limits);
-				this.reading.configurationApplied();
+				this.reading.handleConfigurationApplied();
 				this.startHold.release();
 			},
 		});
-		this.reading = new StoreReading({
+		this.reading = new StoreSync({
 			vm: settings.vm.id,
 			store: this.store,
 			clock,
@@ -156,10 +156,10 @@
 			configuration: this.configuration,
 			engines: this.engines,
 			fleet,
-			registeredVms: () => registry.size,
+			registeredVmCount: () => registry.size,
 			vmNames: () => registry.names,
-			dutyToken: () => this.duties?.token,
-			onEraHeard: (era) => this.restoration.heard(era),
+			dutyToken: () => this.duties?.fencingToken,
+			onPeerEra: (era) => this.restoration.handlePeerEra(era),
 			peers: () => peers,
 			sleep,
 		});
@@ -171,7 +171,7 @@
 				settings: settings.duties,
 				sizing,
 				vm: settings.vm.id,
-				life,
+				incarnation: life,
 				address: addressOf(settings.listen.peers),
 				api: this.dutyApi,
 				store: this.store,
@@ -182,15 +182,15 @@
 				fleet,
 				engines: this.engines,
 				limits: limits.ledger,
-				reading: () => this.reading,
-				messages: () => peers,
+				storeSync: () => this.reading,
+				transport: () => peers,
 				services: () => this.configuration.table?.configuration.services ?? [],
-				registeredVms: () => registry.size,
+				registeredVmCount: () => registry.size,
 				vmNames: () => registry.names,
-				onChanged: () => peers.announce(),
+				onChanged: () => peers.sendNow(),
 			});
 		}
-		this.budget = new RetryBudget(settings.retries, () => this.links.knownVms);
+		this.budget = new RetryBudget(settings.retries, () => this.links.vmCount);
 		this.costReport = new CostReport(
 			log,
 			this.costs,
@@ -205,7 +205,11 @@
 			storeCalls: () => this.store.calls,
 			storeReachable: () => (this.reading.isUpToDate ? 1 : 0),
 			logLinesDropped: linesDropped,
-			duties: () => ({ ...noDuties, ...this.duties?.totals, token: this.duties?.token ?? 0 }),
+			duties: () => ({
+				...noDuties,
+				...this.duties?.totals,
+				token: this.duties?.fencingToken ?? 0,
+			}),
 			costEstimates: () => this.costReport.samples(),
 			limitedEngines: () => limits.ledger.size,
 			quarantinedContents: () => this.quarantine.contents.size,
@@ -217,7 +221,7 @@
 			configuration: this.configuration,
 			registry,
 			quarantineRecords: this.quarantineRecords,
-			reading: this.reading,
+			storeSync: this.reading,
 			duties: this.duties,
 			onRestored: () => this.metrics.recordStoreRestored(),
 		});
@@ -238,12 +242,12 @@
 			fleet,
 			limits,
 			usage: this.duties,
-			onWorkChanged: () => peers.changed(),
+			onWorkChanged: () => peers.markChanged(),
 			retryBudget: this.budget,
 			quarantine: this.quarantine,
 			routes: () => this.configuration.table,
 			isPossiblyStale: () => !this.reading.isUpToDate,
-			storeUnreachableMs: () => this.reading.silentMs,
+			storeUnreachableMs: () => this.reading.storeUnreachableMs,
 			refusal: (route) => this.planned.refusal(route),
 			metrics: this.metrics,
 		});
@@ -254,13 +258,13 @@
 			isEventLoopLagging: () => this.watch.delayMs > lateMs,
 			handle: (req, res) => this.relay.handle(req, res),
 		});
-		this.watch = new LoopWatch({
+		this.watch = new EventLoopMonitor({
 			clock,
 			log,
 			onDelay: (ms) => this.metrics.recordEventLoopDelay(ms),
-			onSuspended: () => this.reading.wokeUp(),
+			onSuspended: () => this.reading.handleSuspension(),
 		});
-		this.planned = new PlannedStop(clock, () => this.settings.stopMs);
+		this.planned = new GracefulShutdown(clock, () => this.settings.stopMs);
 		this.readiness = createReadinessServer(() => this.isReady());
 	}
 
@@ -278,9 +282,9 @@
 		await listenOn(this.readiness, readiness.host, readiness.port);
 		this.runForever(this.links.registry.run());
 		this.watch.start();
-		this.timers.push(setInterval(() => this.tick(), tickMs));
+		this.timers.push(setInterval(() => this.tick(), tickIntervalMs));
 		this.timers.push(setInterval(() => this.sweep(), peerSweepMs));
-		this.timers.push(setInterval(() => this.costReport.write(), costReportMs));
+		this.timers.push(setInterval(() => this.costReport.write(), costReportIntervalMs));
 		this.log.info('daemon.started', {
 			callers_port: callers.port,
 			domain: this.settings.vm.domain,
@@ -298,15 +302,15 @@
 		this.front.disableKeepAlive();
 		this.links.retire();
 		await this.duties?.release();
-		await sleep(takeStreamsMs);
-		while (this.front.openRequests > 0 && !this.planned.isOver) {
+		await sleep(streamAcceptanceMs);
+		while (this.front.openRequests > 0 && !this.planned.isDeadlineReached) {
 			this.front.closeIdleConnections();
 			await sleep(stopPollMs);
 		}
 		this.relay.abortAll('the daemon stops');
 		this.front.server.close();
 		await this.close();
-		this.log.info('daemon.stopped', { took_ms: Math.round(this.planned.tookMs) });
+		this.log.info('daemon.stopped', { took_ms: Math.round(this.planned.elapsedMs) });
 	}
 
 	private async close(): Promise<void> {
--- a/src/daemon/relay/store-restoration.ts
+++ b/src/daemon/relay/store-restoration.ts
@@ -10,7 +10,7 @@
 import type { Store } from '../../core/store/definitions.js';
 import { eraOf, storedRevision } from '../../core/store/revisions.js';
 import type { FleetDuties } from './fleet-duties.js';
-import type { StoreReading } from './store-reading.js';
+import type { StoreSync } from './store-sync.js';
 
 export interface StoreRestorationOptions {
 	log: Log;
@@ -19,7 +19,7 @@
 	configuration: ConfigurationState;
 	registry: VmRegistry;
 	quarantineRecords: QuarantineRecords;
-	reading: StoreReading;
+	storeSync: StoreSync;
 	/** Absent where nothing is done for the whole fleet. */
 	duties?: FleetDuties;
 	onRestored: () => void;
@@ -32,31 +32,38 @@
 	constructor(private readonly opts: StoreRestorationOptions) {}
 
 	/** Peers that the store answers may know of a new era before this VM has an answer of its own. */
-	heard(era: number): void {
+	handlePeerEra(era: number): void {
 		const { store } = this.opts;
 		if (store.era > 0 && era > store.era) {
-			this.restored(era);
+			this.handleRestored(era);
 		}
 	}
 
 	/** What this VM wrote to the store is written again, and what it knows that is newer stays. */
-	restored(era: number): void {
+	handleRestored(era: number): void {
 		if (era <= this.takenIn) {
 			return;
 		}
 		this.takenIn = era;
-		const { engines, configuration, duties, registry, quarantineRecords, reading } = this.opts;
+		const {
+			engines,
+			configuration,
+			duties,
+			registry,
+			quarantineRecords,
+			storeSync: reading,
+		} = this.opts;
 		this.opts.log.warn('store.restored', {
 			era,
 			era_before: eraOf(engines.revision),
 			revision_before: storedRevision(engines.revision),
 			configuration: configuration.version,
-			duty_token: duties?.token,
+			duty_token: duties?.fencingToken,
 		});
 		this.opts.onRestored();
-		duties?.restored();
+		duties?.handleStoreRestored();
 		registry.scheduleRewrite();
 		quarantineRecords.handleStoreRestored();
-		reading.restored();
+		reading.handleStoreRestored();
 	}
 }
--- a/src/daemon/relay/store-reading.ts
+++ b/src/daemon/relay/store-sync.ts
@@ -47,7 +47,7 @@
 /** How one prefix is followed. */
 type Reading = Pick<PrefixFollowerOptions, 'firstMayBeStale' | 'pauseMs' | 'backOff'>;
 
-export interface StoreReadingOptions {
+export interface StoreSyncOptions {
 	vm: string;
 	store: Store;
 	clock: Clock;
@@ -61,25 +61,25 @@
 	engines: EngineDirectory;
 	fleet: FleetView;
 	/** VMs that the store lists; undefined before they were read. */
-	registeredVms: () => number | undefined;
+	registeredVmCount: () => number | undefined;
 	/** Names of the VMs that are known, this one included. */
 	vmNames: () => readonly string[];
 	/** Fencing token under which this VM acts for the whole fleet; undefined while it does not. */
 	dutyToken: () => number | undefined;
 	/** A peer tells of the store's era. */
-	onEraHeard: (era: number) => void;
+	onPeerEra: (era: number) => void;
 	/** Given as a function, since peers are told of this object too. */
 	peers: () => PeerExchange;
 	sleep: (ms: number) => Promise<void>;
 }
 
-export class StoreReading {
+export class StoreSync {
 	private readonly selection: ReaderSelection;
 	private readonly startedAt: number;
 	private readonly configurationFollower: PrefixFollower;
 	private readonly enginesFollower: PrefixFollower;
 
-	constructor(private readonly opts: StoreReadingOptions) {
+	constructor(private readonly opts: StoreSyncOptions) {
 		const { keys, configuration, engines, drainMs } = opts;
 		this.selection = new ReaderSelection(opts.vm);
 		this.startedAt = opts.clock.sinceBoot();
@@ -102,7 +102,7 @@
 	}
 
 	/** Time between two renewals of this VM's registration, in milliseconds. */
-	get renewMs(): number {
+	get renewalIntervalMs(): number {
 		return this.selection.renewalIntervalMs;
 	}
 
@@ -120,7 +120,7 @@
 	 */
 	get dutyRank(): number | undefined {
 		const knowsFleet =
-			this.opts.registeredVms() !== undefined &&
+			this.opts.registeredVmCount() !== undefined &&
 			this.opts.clock.sinceBoot() - this.startedAt > firstDutyMs;
 		return knowsFleet && this.followers.every((follower) => follower.isReachable)
 			? this.selection.readerRank
@@ -128,12 +128,12 @@
 	}
 
 	/** Whether others read the store for this VM, and none is heard that it answers. */
-	get isAway(): boolean {
+	get isStoreUnavailable(): boolean {
 		return !this.selection.isReader && this.opts.fleet.countStoreReaders(maxContactAgeMs) === 0;
 	}
 
 	/** How long the store has not answered this VM, in milliseconds; since the start when it never did. */
-	get silentMs(): number {
+	get storeUnreachableMs(): number {
 		const { clock, store } = this.opts;
 		return clock.sinceBoot() - Math.max(store.lastAnsweredAt, this.startedAt);
 	}
@@ -164,38 +164,38 @@
 			}
 		}
 		const peers = this.opts.peers();
-		if (selection.isReadingForOthers && peers.silentForMs >= maxReaderSilenceMs) {
-			peers.announce();
+		if (selection.isReadingForOthers && peers.sinceLastSendMs >= maxReaderSilenceMs) {
+			peers.sendNow();
 		}
 	}
 
 	/** A configuration came into force: engines are of use now, and peers hear of it at once. */
-	configurationApplied(): void {
+	handleConfigurationApplied(): void {
 		this.enginesFollower.setActive(this.selection.isReader);
-		this.changed();
+		this.announceChange();
 	}
 
 	/** Something that this VM read from the store changed: the others learn it at once. */
-	changed(): void {
+	announceChange(): void {
 		if (this.followers.some((follower) => follower.isReachable)) {
-			this.opts.peers().announce();
+			this.opts.peers().sendNow();
 		}
 	}
 
 	/** What peers are told; undefined while this VM does not read the store itself. */
-	news(): StoreStatus | undefined {
+	getStoreStatus(): StoreStatus | undefined {
 		if (!this.enginesFollower.isReachable) {
 			return undefined;
 		}
 		const { revision, digest } = this.opts.engines;
 		const dutyToken = this.opts.dutyToken() ?? 0;
-		return { contactAgeMs: this.silentMs, revision, digest, dutyToken };
+		return { contactAgeMs: this.storeUnreachableMs, revision, digest, dutyToken };
 	}
 
 	/** A peer that reads the store told of it: changes of engines are fetched unless this VM reads it too. */
-	heard(address: string, store: StoreStatus): void {
+	handlePeerStatus(address: string, store: StoreStatus): void {
 		const { engines } = this.opts;
-		this.opts.onEraHeard(eraOf(store.revision));
+		this.opts.onPeerEra(eraOf(store.revision));
 		const isNews = store.revision >= engines.revision && store.digest !== engines.digest;
 		const isFresh = store.contactAgeMs < maxContactAgeMs;
 		if (!this.enginesFollower.isReachable && isFresh && isNews) {
@@ -204,7 +204,7 @@
 	}
 
 	/** Engines changed since a revision, as text for a peer; undefined while this VM does not read the store. */
-	enginesSince(revision: number): string | undefined {
+	exportEngines(revision: number): string | undefined {
 		return this.enginesFollower.isReachable ? this.opts.engines.export(revision) : undefined;
 	}
 
@@ -216,13 +216,13 @@
 	}
 
 	/** The store came back from an older copy: registrations of engines that live may be missing there for a moment. */
-	restored(): void {
+	handleStoreRestored(): void {
 		this.opts.engines.handleStoreLost();
 		this.restart();
 	}
 
 	/** The VM was suspended: what was read before proves nothing until it is read again. */
-	wokeUp(): void {
+	handleSuspension(): void {
 		for (const follower of this.followers) {
 			follower.invalidate();
 		}
@@ -244,7 +244,7 @@
 
 	/** Waits until the fleet is known to be small, or whether this VM is one of those that read the store. */
 	private async untilRoleIsKnown(): Promise<void> {
-		const { clock, sleep, registeredVms } = this.opts;
+		const { clock, sleep, registeredVmCount: registeredVms } = this.opts;
 		const latest = this.startedAt + firstWatchMs;
 		const isSmall = () => (registeredVms() ?? Number.POSITIVE_INFINITY) <= smallFleetSize;
 		while (this.selection.isReader && !isSmall() && clock.sinceBoot() < latest) {
