--- a/src/daemon/relay/cost-report.ts
+++ b/src/daemon/relay/cost-report.ts
@@ -1,6 +1,5 @@
 /**
- * Tells operators what this VM believes work to cost: now and then a log line for each service, and figures on the
- * metrics address.
+ * Reports the cost estimates of this VM to operators: a periodic log line for each service, and samples for the metrics.
  * @module
  */
 import type { Clock, Log } from '../../core/definitions.js';
@@ -8,14 +7,14 @@
 import type { EngineDirectory } from '../../core/engines/engine-directory.js';
 import type { CostSample } from '../../infra/relay/prometheus-metrics.js';
 
-/** Time between two lines of one service, in milliseconds: estimates settle within a few seconds. */
+/** Interval between log lines of one service. */
 export const costReportIntervalMs = 5000;
 
-/** Engines named in the line of a service: enough to tell a slow machine from a slow service. */
-const mostNamed = 3;
+/** Maximum number of engines listed in a line; enough to tell a slow engine from a slow service. */
+const maxListedEngines = 3;
 
 export class CostReport {
-	/** @param services those whose engines run language models */
+	/** @param services names of the services whose engines run language models */
 	constructor(
 		private readonly log: Log,
 		private readonly costs: CostModel,
@@ -24,48 +23,50 @@
 		private readonly clock: Clock,
 	) {}
 
-	/** Writes a line for each service. */
+	/** Logs a line for each service. */
 	write(): void {
 		for (const service of this.services()) {
 			const estimates = this.costs.of(service);
 			const { observations, peers } = this.costs.sources(service);
 			this.log.info('costs.learned', {
 				service,
-				read_tokens_per_ms: rounded(1 / estimates.readMsPerToken),
-				first_ms: rounded(estimates.firstEventOverheadMs),
-				copy_tokens_per_ms: rounded(1 / estimates.copyMsPerToken),
-				copy_setup_ms: rounded(estimates.copySetupMs),
-				event_ms: rounded(estimates.eventIntervalMs),
-				answer_ms_per_token: rounded(estimates.answerMsPerToken),
+				read_tokens_per_ms: round(1 / estimates.readMsPerToken),
+				first_ms: round(estimates.firstEventOverheadMs),
+				copy_tokens_per_ms: round(1 / estimates.copyMsPerToken),
+				copy_setup_ms: round(estimates.copySetupMs),
+				event_ms: round(estimates.eventIntervalMs),
+				answer_ms_per_token: round(estimates.answerMsPerToken),
 				held_ms: Math.round(estimates.slotOccupancyMs),
 				observations,
 				peers,
-				...this.speedsOf(service),
+				...this.paceFields(service),
 			});
 		}
 	}
 
-	/** How engines differ from their service's figures, the slowest by id. */
-	private speedsOf(service: string): Record<string, string | number> {
-		const speeds = this.costs.paces.list(service, this.clock.monotonic());
-		const slowest = [...speeds].sort((a, b) => b.steps - a.steps).slice(0, mostNamed);
-		const named = slowest.map(({ engine, reading, steps }) => {
+	/** Summarizes how the paces of engines deviate from the estimates of their service, with the ids of the slowest. */
+	private paceFields(service: string): Record<string, string | number> {
+		const paces = this.costs.paces.list(service, this.clock.monotonic());
+		const slowest = [...paces].sort((a, b) => b.steps - a.steps).slice(0, maxListedEngines);
+		const listed = slowest.map(({ engine, reading, steps }) => {
 			const id = this.engines.findByRef(engine)?.id ?? engine;
-			return `${id}:${rounded(reading)}/${rounded(steps)}`;
+			return `${id}:${round(reading)}/${round(steps)}`;
 		});
-		const turned = speeds.filter(({ isDeviating: isTurned }) => isTurned).length;
-		return { paced: speeds.length, turned, slowest: named.join(',') };
+		const turned = paces.filter(({ isDeviating }) => isDeviating).length;
+		return { paced: paces.length, turned, slowest: listed.join(',') };
 	}
 
+	/** Current estimates of each service, for the metrics. */
 	samples(): CostSample[] {
 		return this.services().map((service) => {
-			const speeds = this.costs.paces.list(service, this.clock.monotonic());
-			const slowestPace = Math.max(1, ...speeds.map(({ steps }) => steps));
+			const paces = this.costs.paces.list(service, this.clock.monotonic());
+			const slowestPace = Math.max(1, ...paces.map(({ steps }) => steps));
 			return { service, estimates: this.costs.of(service), slowestPace };
 		});
 	}
 }
 
-function rounded(value: number): number {
+/** Rounds to two decimals. */
+function round(value: number): number {
 	return Math.round(value * 100) / 100;
 }
--- a/src/daemon/relay/due-timer.ts
+++ b/src/daemon/relay/due-timer.ts
@@ -1,52 +1,53 @@
 /**
- * One timer for whatever is due next.
+ * Runs a callback at a deadline that may move, with a single timer.
  * @module
  */
 import type { Clock } from '../../core/definitions.js';
 
-/** A timer that would fire so much before something is due is set anew, in milliseconds; moving it costs less than a wake-up. */
-const looseMs = 20;
-/** Waits from here on are rounded up, in milliseconds. */
-const longWaitMs = 50;
-/** So much is added to them, in milliseconds: a timer may fire early by the age of the loop's clock, and would be set once more. */
-const earlyMs = 2;
+/** A timer that would fire at least this early is rescheduled, since an extra wake-up costs more. */
+const earlyToleranceMs = 20;
+/** Delays of at least this length are rounded up. */
+const longDelayMs = 50;
+/** Added to long delays, since a timer may fire early by the age of the event loop's cached time. */
+const loopClockSlackMs = 2;
 
 export class DueTimer {
 	private timer?: NodeJS.Timeout;
-	/** When the timer fires, in monotonic milliseconds. */
+	/** Deadline that the timer is set for, in monotonic milliseconds; infinite while none is set. */
 	private firesAt = Number.POSITIVE_INFINITY;
 	private isStopped = false;
 
 	/**
-	 * @param dueAt monotonic milliseconds at which something is due next
-	 * @param leastMs shortest time to the next run, in milliseconds
+	 * @param dueAt returns the next deadline in monotonic milliseconds; infinite for none
+	 * @param run called when the timer fires, which may be slightly before a deadline that moved
+	 * @param minDelayMs minimum delay before the next run
 	 */
 	constructor(
 		private readonly clock: Clock,
 		private readonly dueAt: () => number,
 		private readonly run: () => void,
-		private readonly leastMs = 0,
+		private readonly minDelayMs = 0,
 	) {}
 
-	/** Sets the timer anew, unless it fires in time already. */
+	/** Reschedules the timer if the deadline has moved; must be called after each change of the deadline. */
 	arm(): void {
 		const dueAt = this.dueAt();
 		if (this.isStopped || this.firesAt === dueAt) {
 			return;
 		}
-		if (this.firesAt < dueAt && dueAt - this.firesAt < looseMs) {
+		if (this.firesAt < dueAt && dueAt - this.firesAt < earlyToleranceMs) {
 			return;
 		}
 		clearTimeout(this.timer);
 		this.firesAt = dueAt;
 		if (dueAt < Number.POSITIVE_INFINITY) {
-			this.timer = setTimeout(() => this.fire(), this.waitMs(dueAt));
+			this.timer = setTimeout(() => this.fire(), this.delayMs(dueAt));
 		}
 	}
 
-	private waitMs(dueAt: number): number {
-		const waitMs = Math.max(this.leastMs, dueAt - this.clock.monotonic());
-		return waitMs < longWaitMs ? waitMs : Math.ceil(waitMs) + earlyMs;
+	private delayMs(dueAt: number): number {
+		const delayMs = Math.max(this.minDelayMs, dueAt - this.clock.monotonic());
+		return delayMs < longDelayMs ? delayMs : Math.ceil(delayMs) + loopClockSlackMs;
 	}
 
 	stop(): void {
--- a/src/daemon/relay/fleet-coordinator.ts
+++ b/src/daemon/relay/fleet-coordinator.ts
@@ -1,5 +1,5 @@
 /**
- * What a VM knows of the other VMs, and what it tells them: registrations, news, limits that engines name.
+ * Connects the components that share state with the other VMs: registry, gossip, fleet view, engine limits and health.
  * @module
  */
 import type { Clock, Log, Random } from '../../core/definitions.js';
@@ -27,15 +27,16 @@
 	random: Random;
 	log: Log;
 	store: Store;
-	/** Prefix of the keys of all VMs. */
+	/** Key prefix of VM registrations in the store. */
 	vmPrefix: string;
-	/** Tells this process from an earlier one of the same VM. */
+	/** Distinguishes this process from earlier ones of the same VM. */
 	incarnation: number;
 	costs: CostModel;
 	quarantine: Quarantine;
 	engines: EngineDirectory;
 	configuration: () => ConfigurationState;
 	storeSync: () => StoreSync;
+	/** Undefined where the VM performs no duties. */
 	duties: () => FleetDuties | undefined;
 	sleep: (ms: number) => Promise<void>;
 }
@@ -47,10 +48,10 @@
 	readonly limits: FleetLimits;
 	readonly health: FleetHealth;
 	private readonly limitExchange: LimitExchange;
-	private readonly size = new FleetSize();
+	private readonly fleetSize = new FleetSize();
 
 	constructor(private readonly opts: FleetCoordinatorOptions) {
-		const { clock, random, log, engines, configuration, storeSync: reading, duties } = opts;
+		const { clock, random, log, engines, configuration, storeSync, duties } = opts;
 		const { vm, listen } = opts.settings();
 		const { id: name, domain, cores } = vm;
 		const self: RegisteredVm = { name, domain, cores, address: listen.peers };
@@ -63,8 +64,8 @@
 			engineId: (ref) => engines.findByRef(ref)?.id,
 			heardVms: () => this.fleet.size,
 			vms: () => this.vmCount,
-			sendPermitRequest: (to, ask) => this.peers.sendPermitRequest(to, ask),
-			sendPermitResponse: (to, answer) => this.peers.sendPermitResponse(to, answer),
+			sendPermitRequest: (to, request) => this.peers.sendPermitRequest(to, request),
+			sendPermitResponse: (to, response) => this.peers.sendPermitResponse(to, response),
 			onNews: () => this.peers.markChanged(),
 		});
 		const { limits } = this.limitExchange;
@@ -86,8 +87,8 @@
 			onNewerConfiguration: (address) => void this.peers.fetchConfiguration(address),
 			costs: opts.costs,
 			answers: this.health,
-			storeStatus: () => reading().getStoreStatus(),
-			onStoreStatus: (address, store) => reading().handlePeerStatus(address, store),
+			storeStatus: () => storeSync().getStoreStatus(),
+			onStoreStatus: (address, store) => storeSync().handlePeerStatus(address, store),
 			crashes: opts.quarantine.ledger,
 			limits,
 		});
@@ -99,9 +100,9 @@
 			prefix: opts.vmPrefix,
 			self,
 			sleep: opts.sleep,
-			renewalIntervalMs: () => reading().renewalIntervalMs,
-			isStoreUnavailable: () => reading().isStoreUnavailable,
-			onStoreUnreachable: () => reading().restart(),
+			renewalIntervalMs: () => storeSync().renewalIntervalMs,
+			isStoreUnavailable: () => storeSync().isStoreUnavailable,
+			onStoreUnreachable: () => storeSync().restart(),
 		});
 		this.peers = new PeerExchange({
 			clock,
@@ -112,36 +113,36 @@
 			seeds: () => this.seeds(),
 			configurationText: () => configuration().text,
 			applyConfigurationIfNewer: (text, source) => configuration().applyIfNewer(text, source),
-			exportEngines: (since) => reading().exportEngines(since),
+			exportEngines: (since) => storeSync().exportEngines(since),
 			applyEngines: (text) => engines.applyCopy(text),
 			enginesRevision: () => engines.revision,
 			onUsage: (usage) => duties()?.receiveUsage(usage),
-			onUsageAck: (taken) => duties()?.handleUsageAck(taken),
-			onPermitRequest: (ask) => limits.handlePermitRequest(ask),
-			onPermitResponse: (answer) => limits.handlePermitResponse(answer),
+			onUsageAck: (ack) => duties()?.handleUsageAck(ack),
+			onPermitRequest: (request) => limits.handlePermitRequest(request),
+			onPermitResponse: (response) => limits.handlePermitResponse(response),
 		});
 	}
 
-	/** VMs of the fleet, silent ones included; undefined while not known. */
+	/** Size of the fleet, including silent VMs; undefined while unknown. */
 	get vmCount(): number | undefined {
 		const { fleet, registry, opts } = this;
-		return this.size.count(fleet.size, registry.size, opts.clock.monotonic());
+		return this.fleetSize.count(fleet.size, registry.size, opts.clock.monotonic());
 	}
 
-	/** Called several times a second. */
+	/** Runs what is due; called several times a second. */
 	update(): void {
 		this.limitExchange.update();
 		this.peers.update();
 	}
 
-	/** Forgets what is old; called each second. */
+	/** Removes outdated state; called every second. */
 	sweep(): void {
 		this.fleet.sweep();
 		this.health.sweep();
 		this.limits.sweep((ref) => this.opts.engines.findByRef(ref) !== undefined);
 	}
 
-	/** This VM stops: others do what it did for them. */
+	/** Hands this VM's roles as issuer and aggregator over to others before a stop. */
 	retire(): void {
 		this.limits.retire();
 		this.peers.retire();
@@ -153,7 +154,7 @@
 		this.registry.stop();
 	}
 
-	/** VMs to ask before any is known. Seeds name another port of the same VM; ports are alike on all VMs. */
+	/** Peers to contact before any VM is known. Seeds name another port of a VM; all VMs use the same ports. */
 	private seeds(): HostPort[] {
 		const { seeds, listen } = this.opts.settings();
 		const hosts = new Set(seeds.map((seed) => seed.host));
--- a/src/daemon/relay/fleet-duties.ts
+++ b/src/daemon/relay/fleet-duties.ts
@@ -1,6 +1,6 @@
 /**
- * What one VM at a time does for the whole fleet, and what all VMs do for it: every VM counts the requests that begin to
- * run and tells the holder of the duty, which reports them and orders engines.
+ * Duties for the whole fleet: every VM counts the requests that start to run and sends the counts to the duty holder, which
+ * reports them to the platform and orders engines.
  * @module
  */
 import type { Clock, Log, Random } from '../../core/definitions.js';
@@ -25,59 +25,61 @@
 import type { Store } from '../../core/store/definitions.js';
 import type { StoreSync } from './store-sync.js';
 
-/** Counts are kept for so many times the delay that a report may have: by then it was made, or is of no use. */
-const keptDelays = 2;
+/** Retention of usage counts, as a multiple of the delay after which they are due; later reports are of no use. */
+const retentionDelays = 2;
 
-/** Messages about counts to other VMs. */
+/** Sends usage counts and their acknowledgements to other VMs. */
 export interface UsageTransport {
 	sendUsage(to: HostPort, usage: UsageCounts): void;
-	sendUsageAck(to: HostPort, taken: UsageAck): void;
+	sendUsageAck(to: HostPort, ack: UsageAck): void;
 }
 
 export interface FleetDutiesOptions {
 	settings: DutySettings;
 	sizing: SizingStrategy;
 	vm: string;
-	/** Tells this process from an earlier one of the same VM. */
+	/** Distinguishes this process from earlier ones of the same VM. */
 	incarnation: number;
-	/** Where this VM hears others, as IP:PORT. */
+	/** Datagram address of this VM, as IP:PORT. */
 	address: string;
 	api: DutyApi;
 	store: Store;
 	clock: Clock;
 	random: Random;
 	log: Log;
+	/** Store keys of the duty holder and of the reports. */
 	keys: { holder: string; reports: string };
 	fleet: FleetView;
 	engines: EngineDirectory;
 	limits: LimitLedger;
 	storeSync: () => StoreSync;
 	transport: () => UsageTransport;
-	/** Services of the configuration in force. */
+	/** Services of the active configuration. */
 	services: () => readonly Service[];
+	/** Number of registered VMs, this one included; undefined before the registry was read. */
 	registeredVmCount: () => number | undefined;
-	/** Names of those VMs. */
+	/** Names of the registered VMs, this one included. */
 	vmNames: () => readonly string[];
-	/** Something that the other VMs should know at once. */
+	/** Called when other VMs should be updated at once. */
 	onChanged: () => void;
 }
 
 export class FleetDuties implements UsageRecorder {
 	private readonly holder: DutyHolder;
-	private readonly time: FleetClock;
+	private readonly fleetClock: FleetClock;
 	private readonly counter: UsageCounter;
 	private readonly sender: UsageSender;
 	private readonly collector: UsageCollector;
 	private readonly reporter: UsageReporter;
-	private readonly orders: EngineAutoscaler;
-	/** Windows reported in time and not, and orders that the platform took, since the start. */
+	private readonly autoscaler: EngineAutoscaler;
+	/** Usage windows reported in time and late, and orders that the platform accepted, since the start. */
 	readonly totals = { reported: 0, missed: 0, orders: 0 };
 
 	constructor(private readonly opts: FleetDutiesOptions) {
-		const { settings, store, clock, random, log, vm, incarnation: life, address, api, keys } = opts;
+		const { settings, store, clock, random, log, vm, incarnation, address, api, keys } = opts;
 		const { windowMs, usageDelayMs: delayMs, leaseMs, checksTokens } = settings;
-		this.time = new FleetClock(clock);
-		const time = () => this.time.now();
+		this.fleetClock = new FleetClock(clock);
+		const time = () => this.fleetClock.now();
 		const now = () => clock.monotonic();
 		this.holder = new DutyHolder({
 			store,
@@ -93,11 +95,11 @@
 			otherHolderToken: () => opts.fleet.dutyHolder(maxContactAgeMs)?.dutyToken,
 			onChanged: opts.onChanged,
 		});
-		this.counter = new UsageCounter({ windowMs, retentionMs: delayMs * keptDelays, time });
+		this.counter = new UsageCounter({ windowMs, retentionMs: delayMs * retentionDelays, time });
 		this.collector = new UsageCollector(time);
 		const { counter } = this;
-		const send = (to: string, usage: UsageCounts) => this.send(to, usage);
-		this.sender = new UsageSender({ vm, incarnation: life, address, counter, now, time, send });
+		const send = (to: string, usage: UsageCounts) => this.sendUsage(to, usage);
+		this.sender = new UsageSender({ vm, incarnation, address, counter, now, time, send });
 		this.reporter = new UsageReporter({
 			store,
 			api,
@@ -114,7 +116,7 @@
 			onReported: () => this.totals.reported++,
 			onReportedLate: () => this.totals.missed++,
 		});
-		this.orders = new EngineAutoscaler({
+		this.autoscaler = new EngineAutoscaler({
 			api,
 			holder: this.holder,
 			clock,
@@ -122,26 +124,26 @@
 			vm,
 			sizing: opts.sizing,
 			callsPerSecond: settings.callsPerSecond,
-			services: () => opts.services().filter(({ scaling: supply }) => supply !== undefined),
+			services: () => opts.services().filter(({ scaling }) => scaling !== undefined),
 			engines: (service) => this.enginesOf(service),
-			rateLimitedEngines: (service) => this.limitedEngines(service),
-			busyEngines: (service) => this.busyEngines(service),
+			rateLimitedEngines: (service) => this.countRateLimitedEngines(service),
+			busyEngines: (service) => this.estimateBusyEngines(service),
 			isUpToDate: () => this.isUpToDate,
 			onOrdered: () => this.totals.orders++,
 		});
 	}
 
-	/** The token under which this VM acts for the fleet; undefined while it does not. */
+	/** Fencing token while this VM holds the duty; undefined otherwise. */
 	get fencingToken(): number | undefined {
 		return this.holder.token;
 	}
 
-	/** This VM stops: another may take the duty at once. */
+	/** Gives up the duty before a stop, so that another VM can acquire it at once. */
 	release(): Promise<void> {
 		return this.holder.release();
 	}
 
-	/** The store came back from an older copy: what the duty goes by there may be gone. */
+	/** Handles a restore of the store from an older copy, in which the keys of the duty may be missing. */
 	handleStoreRestored(): void {
 		this.reporter.handleStoreRestored();
 		this.holder.handleStoreRestored();
@@ -153,40 +155,43 @@
 		}
 	}
 
-	/** Does what is due; called several times a second. Rejects only by a defect. */
+	/** Performs the duties that are due; called several times a second. Rejects only because of a defect. */
 	async update(): Promise<void> {
 		const { settings } = this.opts;
-		this.time.update();
+		this.fleetClock.update();
 		const due = [this.holder.update()];
 		if (settings.reportsUsage) {
 			this.sender.update(this.holderAddress);
-			this.setClockRight();
+			this.correctOwnClock();
 			due.push(this.reporter.update());
 		}
 		if (settings.ordersEngines) {
-			due.push(this.orders.update());
+			due.push(this.autoscaler.update());
 		}
 		await Promise.all(due);
 	}
 
-	/** Another VM, or this one, tells what it counted. */
+	/** Merges the counts of a VM if this one holds the duty, and acknowledges final counts. */
 	receiveUsage(usage: UsageCounts): void {
 		if (this.fencingToken === undefined) {
 			return;
 		}
-		const taken = this.collector.merge(usage);
+		const ack = this.collector.merge(usage);
 		if (usage.isFinal) {
 			const differenceMs = this.collector.medianClockOffsetMs(this.opts.fleet.size);
-			const told = { ...taken, time: differenceMs === undefined ? undefined : this.time.now() };
-			this.answer(usage.address, told);
+			const ackWithTime = {
+				...ack,
+				time: differenceMs === undefined ? undefined : this.fleetClock.now(),
+			};
+			this.sendAck(usage.address, ackWithTime);
 		}
 	}
 
-	/** The holder has taken in what this VM told. */
-	handleUsageAck(taken: UsageAck): void {
-		this.sender.handleAck(taken);
-		if (taken.time !== undefined && this.fencingToken === undefined) {
-			this.setClock(taken.time - this.time.now());
+	/** Handles the holder's acknowledgement, which may also carry its time. */
+	handleUsageAck(ack: UsageAck): void {
+		this.sender.handleAck(ack);
+		if (ack.time !== undefined && this.fencingToken === undefined) {
+			this.correctClock(ack.time - this.fleetClock.now());
 		}
 	}
 
@@ -195,7 +200,7 @@
 		return isHolder ? this.opts.address : this.opts.fleet.dutyHolder(maxContactAgeMs)?.address;
 	}
 
-	private send(to: string, usage: UsageCounts): void {
+	private sendUsage(to: string, usage: UsageCounts): void {
 		if (to === this.opts.address) {
 			this.receiveUsage(usage);
 		} else {
@@ -203,77 +208,78 @@
 		}
 	}
 
-	private answer(to: string, taken: UsageAck): void {
+	private sendAck(to: string, ack: UsageAck): void {
 		if (to === this.opts.address) {
-			this.handleUsageAck(taken);
+			this.handleUsageAck(ack);
 		} else {
-			this.opts.transport().sendUsageAck(parseAddress(to), taken);
+			this.opts.transport().sendUsageAck(parseAddress(to), ack);
 		}
 	}
 
-	/** The holder's own clock may be the wrong one. */
-	private setClockRight(): void {
+	/** Corrects the holder's clock by the median of the fleet, since its own clock may be the wrong one. */
+	private correctOwnClock(): void {
 		const differenceMs = this.collector.medianClockOffsetMs(this.opts.fleet.size);
 		if (
 			this.fencingToken !== undefined &&
 			differenceMs !== undefined &&
-			this.setClock(differenceMs)
+			this.correctClock(differenceMs)
 		) {
 			this.collector.resetClockOffsets();
 		}
 	}
 
-	private setClock(differenceMs: number): boolean {
-		const isSet = this.time.correct(differenceMs);
-		if (isSet) {
+	/** @returns whether the clock was adjusted */
+	private correctClock(differenceMs: number): boolean {
+		const isCorrected = this.fleetClock.correct(differenceMs);
+		if (isCorrected) {
 			this.opts.log.warn('clock.set', { difference_ms: Math.round(differenceMs) });
 		}
-		return isSet;
+		return isCorrected;
 	}
 
 	private enginesOf(service: string) {
 		const ofService = [...this.opts.engines.all()].filter(
-			({ registration: entry }) => entry.service === service,
+			({ registration }) => registration.service === service,
 		);
-		// One that says in its answers that it leaves is replaced before the store tells of it.
-		return ofService.map(({ registration: entry, isDraining: isLeaving }) => ({
-			...entry,
-			draining: isLeaving,
+		// An engine that announces in an answer that it drains is replaced before the store lists it as draining.
+		return ofService.map(({ registration, isDraining }) => ({
+			...registration,
+			draining: isDraining,
 		}));
 	}
 
-	private limitedEngines(service: string): number {
+	private countRateLimitedEngines(service: string): number {
 		const { engines, limits } = this.opts;
-		const limited = [...engines.all()].filter(({ registration: entry, ref }) => {
-			return entry.service === service && limits.getLimitPerS(ref) !== undefined;
+		const limited = [...engines.all()].filter(({ registration, ref }) => {
+			return registration.service === service && limits.getLimitPerS(ref) !== undefined;
 		});
 		return limited.length;
 	}
 
-	/** Demand of the fleet, by the requests that run at the service's engines. */
-	private busyEngines(service: string): number {
+	/** Estimates the busy engines of a service: its share of the fleet's demand, by running requests. */
+	private estimateBusyEngines(service: string): number {
 		const { fleet, engines } = this.opts;
 		const { long, short } = fleet.demand();
 		let running = 0;
-		let ofService = 0;
+		let runningOfService = 0;
 		for (const engine of engines.all()) {
 			if (this.hasModel(engine.registration.service)) {
-				const work = Math.max(0, fleet.workAt(engine.incarnationKey).running);
-				running += work;
-				ofService += engine.registration.service === service ? work : 0;
+				const engineRunning = Math.max(0, fleet.workAt(engine.incarnationKey).running);
+				running += engineRunning;
+				runningOfService += engine.registration.service === service ? engineRunning : 0;
 			}
 		}
-		return running === 0 ? 0 : ((long + short) * ofService) / running;
+		return running === 0 ? 0 : ((long + short) * runningOfService) / running;
 	}
 
 	private hasModel(service: string): boolean {
 		return this.opts.services().some(({ name, model }) => name === service && model !== undefined);
 	}
 
-	/** Of a fleet of which it hears less than half, a VM knows too little to order for it. */
+	/** Whether this VM knows enough to order engines: it receives gossip of half the fleet, and its store data is current. */
 	private get isUpToDate(): boolean {
-		const { fleet, registeredVmCount: registeredVms, storeSync: reading } = this.opts;
-		const hearsFleet = fleet.size * 2 >= (registeredVms() ?? Number.POSITIVE_INFINITY);
-		return hearsFleet && reading().isUpToDate;
+		const { fleet, registeredVmCount, storeSync } = this.opts;
+		const hasMajority = fleet.size * 2 >= (registeredVmCount() ?? Number.POSITIVE_INFINITY);
+		return hasMajority && storeSync().isUpToDate;
 	}
 }
--- a/src/daemon/relay/graceful-shutdown.ts
+++ b/src/daemon/relay/graceful-shutdown.ts
@@ -1,58 +1,58 @@
 /**
- * When a daemon that was told to stop takes requests for the last time, and when it cuts what has not ended.
+ * Schedule of a graceful shutdown: until when the daemon accepts requests, and when it aborts those still open.
  * @module
  */
 import type { Clock } from '../../core/definitions.js';
 import type { Route } from '../../core/routing/types.js';
 
 /**
- * Streams are still taken for so long after the stop signal: the balancer asks each second, needs
- * two misses, and callers go on using kept connections. Later ones might not end before the kill.
+ * Time after the stop signal in which streams are still accepted: the load balancer notices the stop only after two failed
+ * health checks, and callers keep using open connections. Later streams might not end before the kill.
  */
 export const streamAcceptanceMs = 2900;
-/** What has not ended so long before the kill is cut, in milliseconds. */
-const cutBeforeKillMs = 300;
+/** Open requests are aborted this long before the kill. */
+const abortBeforeKillMs = 300;
 
 export class GracefulShutdown {
-	/** When the stop signal came, in monotonic milliseconds. */
-	private since?: number;
+	/** Time of the stop signal, in monotonic milliseconds; undefined before it. */
+	private startedAt?: number;
 
-	/** @param stopMs from the stop signal to the kill, in milliseconds */
+	/** @param stopMs time from the stop signal to the kill, in milliseconds */
 	constructor(
 		private readonly clock: Clock,
 		private readonly stopMs: () => number,
 	) {}
 
 	get isStopping(): boolean {
-		return this.since !== undefined;
+		return this.startedAt !== undefined;
 	}
 
-	/** Milliseconds since the stop signal. */
+	/** Milliseconds since the stop signal; 0 before it. */
 	get elapsedMs(): number {
-		return this.clock.monotonic() - (this.since ?? this.clock.monotonic());
+		return this.clock.monotonic() - (this.startedAt ?? this.clock.monotonic());
 	}
 
-	/** Whether what has not ended is cut now. */
+	/** Whether open requests have to be aborted now. */
 	get isDeadlineReached(): boolean {
-		return this.since !== undefined && this.clock.monotonic() >= this.cutAt(this.since);
+		return this.startedAt !== undefined && this.clock.monotonic() >= this.abortAt(this.startedAt);
 	}
 
 	begin(): void {
-		this.since = this.clock.monotonic();
+		this.startedAt = this.clock.monotonic();
 	}
 
-	/** Why a request of the route is not taken: what may not end before the kill is not begun. */
+	/** Returns why a request of the route is refused, as it might not end before the kill; undefined if it is accepted. */
 	refusal(route: Route): string | undefined {
-		if (this.since === undefined) {
+		if (this.startedAt === undefined) {
 			return undefined;
 		}
-		const latest = route.isStreamed
-			? this.since + streamAcceptanceMs
-			: this.cutAt(this.since) - route.timeoutMs;
-		return this.clock.monotonic() > latest ? 'the daemon stops' : undefined;
+		const acceptedUntil = route.isStreamed
+			? this.startedAt + streamAcceptanceMs
+			: this.abortAt(this.startedAt) - route.timeoutMs;
+		return this.clock.monotonic() > acceptedUntil ? 'the daemon stops' : undefined;
 	}
 
-	private cutAt(since: number): number {
-		return since + this.stopMs() - cutBeforeKillMs;
+	private abortAt(startedAt: number): number {
+		return startedAt + this.stopMs() - abortBeforeKillMs;
 	}
 }
--- a/src/daemon/relay/limit-exchange.ts
+++ b/src/daemon/relay/limit-exchange.ts
@@ -1,5 +1,5 @@
 /**
- * Ties the limits that engines name to datagrams, timers and the list of VMs.
+ * Connects `FleetLimits`, which coordinates the rate limits of engines, with datagrams, a timer and the VM registry.
  * @module
  */
 import type { Clock, Log, Random } from '../../core/definitions.js';
@@ -12,24 +12,25 @@
 import type { HostPort } from '../../core/relay/settings.js';
 import { DueTimer } from './due-timer.js';
 
-/** An ask that is due while the loop is late does not keep it busy, in milliseconds. */
-const leastWaitMs = 1;
+/** Minimum timer delay; keeps overdue permit requests from occupying a late event loop. */
+const minDelayMs = 1;
 
 export interface LimitExchangeOptions {
 	clock: Clock;
 	log: Log;
 	random: Random;
 	self: RegisteredVm;
-	/** Other VMs that are registered. */
+	/** Other registered VMs. */
 	otherVms: () => readonly RegisteredVm[];
+	/** Id of an engine for the log; undefined while it is not registered. */
 	engineId: (engine: EngineRef) => string | undefined;
-	/** VMs that this one hears of now, itself included. */
+	/** Number of VMs that this one receives gossip from, itself included. */
 	heardVms: () => number;
-	/** VMs of the fleet, silent ones included; undefined while not known. */
+	/** Size of the fleet, including silent VMs; undefined while unknown. */
 	vms: () => number | undefined;
-	sendPermitRequest: (to: HostPort, ask: PermitRequest) => void;
-	sendPermitResponse: (to: HostPort, answer: PermitResponse) => void;
-	/** Other VMs should hear of something. */
+	sendPermitRequest: (to: HostPort, request: PermitRequest) => void;
+	sendPermitResponse: (to: HostPort, response: PermitResponse) => void;
+	/** Called when other VMs should be updated. */
 	onNews: () => void;
 }
 
@@ -38,24 +39,18 @@
 	private readonly timer: DueTimer;
 
 	constructor(opts: LimitExchangeOptions) {
-		const {
-			self,
-			otherVms: listed,
-			sendPermitRequest: sendAsk,
-			sendPermitResponse: sendAnswer,
-			...ports
-		} = opts;
+		const { self, otherVms, sendPermitRequest, sendPermitResponse, ...ports } = opts;
 		this.limits = new FleetLimits({
 			...ports,
 			ownAddress: addressOf(self.address),
-			getRank: (without) => issuerRank(self, listed(), without),
-			sendPermitRequest: (to, ask) => sendAsk(parseAddress(to), ask),
-			sendPermitResponse: (to, answer) => sendAnswer(parseAddress(to), answer),
+			getRank: (without) => issuerRank(self, otherVms(), without),
+			sendPermitRequest: (to, request) => sendPermitRequest(parseAddress(to), request),
+			sendPermitResponse: (to, response) => sendPermitResponse(parseAddress(to), response),
 			onDueChanged: () => this.timer.arm(),
 		});
 		const { limits } = this;
 		const run = () => limits.run();
-		this.timer = new DueTimer(opts.clock, () => limits.dueAt, run, leastWaitMs);
+		this.timer = new DueTimer(opts.clock, () => limits.dueAt, run, minDelayMs);
 	}
 
 	/** Called several times a second. */
--- a/src/daemon/relay/main.ts
+++ b/src/daemon/relay/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `slategauge-relayd`: the daemon on the platform's VMs. Its settings file is named by a variable.
+ * `slategauge-relayd`: the relay daemon. The settings file is the first argument, or the value of SLATEGAUGE_SETTINGS.
  * @module
  */
 import * as fs from 'node:fs';
@@ -17,29 +17,29 @@
 import * as platform from '../../platform/index.js';
 import { RelayDaemon } from './relay-daemon.js';
 
-/** Exit codes, by the custom of sysexits. */
+/** Exit codes, following sysexits.h. */
 const exitCodes = { ok: 0, failed: 1, usage: 64, unreadable: 66, configuration: 78 } as const;
 const defaultFile = '/etc/slategauge/local.json';
 const standardOutput = 1;
-/** The promises of `node:fs` load a dozen modules that the daemon needs for nothing else. */
+/** Promisified here, since `node:fs/promises` loads modules that the daemon does not need otherwise. */
 const readFile = util.promisify(fs.readFile);
 
-/** Reads settings, starts the daemon and follows signals. */
+/** Reads the settings, starts the daemon and handles signals. */
 async function main(): Promise<void> {
 	const args = util.parseArgs({
 		options: {
-			/** Port that serves metrics; without it the last of the platform's free ports. */
+			/** Port of the metrics server; overrides the one in the settings. */
 			'metrics-port': { type: 'string' },
-			/** How many engines are ordered: `peak` (by the greatest demand of late) or `most` (all there may be). */
+			/** How many engines are ordered: `peak` (for the recent peak demand) or `most` (the allowed maximum). */
 			'engine-sizing': { type: 'string', default: sizingStrategies.peak },
-			/** Checks the settings, tells all findings and ends. */
+			/** Checks the settings, prints all findings and exits. */
 			check: { type: 'boolean' },
 		},
 		allowPositionals: true,
 	});
 	const file = args.positionals[0] ?? process.env.SLATEGAUGE_SETTINGS ?? defaultFile;
-	const settings = await load(file, args.values['metrics-port']);
-	const sizing = sizingOf(args.values['engine-sizing']);
+	const settings = await loadSettings(file, args.values['metrics-port']);
+	const sizing = parseSizing(args.values['engine-sizing']);
 	if (args.values.check) {
 		process.stdout.write(`${file}: no findings\n`);
 		return;
@@ -60,15 +60,15 @@
 	process.on('SIGHUP', () => void reload(daemon, file, log));
 }
 
-/** A way that does not exist ends the start, with the ways that do. */
-function sizingOf(name: string): SizingStrategy {
-	const way = Object.values(sizingStrategies).find((known) => known === name);
-	if (way === undefined) {
+/** Exits with the known strategies on standard error if the name is unknown. */
+function parseSizing(name: string): SizingStrategy {
+	const strategy = Object.values(sizingStrategies).find((known) => known === name);
+	if (strategy === undefined) {
 		const known = Object.values(sizingStrategies).join(', ');
 		process.stderr.write(`--engine-sizing ${name}: expected one of ${known}\n`);
 		process.exit(exitCodes.usage);
 	}
-	return way;
+	return strategy;
 }
 
 async function stop(daemon: RelayDaemon, writer: BoundedWriter): Promise<void> {
@@ -77,7 +77,7 @@
 	process.exit(exitCodes.ok);
 }
 
-/** A file that cannot be used changes nothing. */
+/** Applies the settings file again; an unusable file is logged and changes nothing. */
 async function reload(daemon: RelayDaemon, file: string, log: Log): Promise<void> {
 	try {
 		const read = platform.readSettings(file, await readFile(file, 'utf8'));
@@ -85,15 +85,16 @@
 			daemon.reload(read.settings);
 			return;
 		}
-		for (const found of read.findings) {
-			log.error('settings.finding', { finding: errors.formatFinding(found) });
+		for (const finding of read.findings) {
+			log.error('settings.finding', { finding: errors.formatFinding(finding) });
 		}
 	} catch (err) {
 		log.error('settings.unreadable', { file, error: (err as Error).message });
 	}
 }
 
-async function load(file: string, metricsPort: string | undefined): Promise<RelaySettings> {
+/** Reads the settings file; exits with the findings on standard error if it is unusable. */
+async function loadSettings(file: string, metricsPort: string | undefined): Promise<RelaySettings> {
 	let text: string;
 	try {
 		text = await readFile(file, 'utf8');
@@ -103,8 +104,8 @@
 	}
 	const read = platform.readSettings(file, text);
 	if (!read.settings) {
-		for (const found of read.findings) {
-			process.stderr.write(`${errors.formatFinding(found)}\n`);
+		for (const finding of read.findings) {
+			process.stderr.write(`${errors.formatFinding(finding)}\n`);
 		}
 		process.exit(exitCodes.configuration);
 	}
--- a/src/daemon/relay/peer-exchange.ts
+++ b/src/daemon/relay/peer-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * News, configurations and engines between VMs: datagrams for news, one HTTP call for a configuration or engines that a
- * peer has and this VM has not, such as when the store turns this VM away.
+ * Exchanges state with other VMs: gossip, usage counts and permits as datagrams, configurations and engine lists over HTTP.
+ * A VM that cannot read the store gets these from its peers.
  * @module
  */
 import type * as http from 'node:http';
@@ -25,112 +25,118 @@
 	log: Log;
 	self: RegisteredVm;
 	fleet: FleetView;
-	/** Other VMs that are registered. */
+	/** Other registered VMs. */
 	otherVms: () => readonly RegisteredVm[];
-	/** VMs to ask before any is known. */
+	/** Peers to contact before any registered VM is known. */
 	seeds: () => readonly HostPort[];
-	/** The configuration in force as text. */
+	/** Text of the active configuration; undefined before the first. */
 	configurationText: () => string | undefined;
+	/** @param source where the text comes from, for the log */
 	applyConfigurationIfNewer: (text: string, source: string) => void;
-	/** Engines changed since a revision, as text; undefined while this VM itself does not read the store. */
+	/** Serializes the engines changed since a revision; undefined while this VM does not read the store itself. */
 	exportEngines: (since: number) => string | undefined;
-	/** @returns false when the copy needs registrations that it does not hold */
+	/**
+	 * Applies a peer's copy of the engines.
+	 * @returns false when the copy omits a registration that is not known here
+	 * @throws Error when the text is no valid copy
+	 */
 	applyEngines: (text: string) => boolean;
-	/** Revision of the store that this VM's engines show. */
+	/** Store revision of this VM's engines. */
 	enginesRevision: () => number;
-	/** A VM tells what it counted, or that it has taken in what this VM counted. */
+	/** Called with the usage counts of another VM, and with an acknowledgement of this VM's counts. */
 	onUsage: (usage: UsageCounts) => void;
-	onUsageAck: (taken: UsageAck) => void;
-	/** A VM asks for a permit, or answers an ask of this VM. */
-	onPermitRequest: (ask: PermitRequest) => void;
-	onPermitResponse: (answer: PermitResponse) => void;
+	onUsageAck: (ack: UsageAck) => void;
+	/** Called with the permit request of another VM, and with the response to a request of this VM. */
+	onPermitRequest: (request: PermitRequest) => void;
+	onPermitResponse: (response: PermitResponse) => void;
 }
 
 export class PeerExchange {
 	private readonly datagrams: PeerDatagramSocket;
-	private readonly news: GossipExchange;
+	private readonly gossip: GossipExchange;
 	private readonly transfers: PeerTransfers;
 	private readonly timer: DueTimer;
 
 	constructor(private readonly opts: PeerExchangeOptions) {
-		const { clock, log, self, fleet, otherVms: listed, seeds } = opts;
+		const { clock, log, self, fleet, otherVms, seeds } = opts;
 		this.datagrams = new PeerDatagramSocket(log, {
-			onGossip: (news) => this.receive(news),
+			onGossip: (message) => this.receive(message),
 			onUsage: (usage) => this.opts.onUsage(usage),
-			onUsageAck: (taken) => this.opts.onUsageAck(taken),
-			onPermitRequest: (ask) => this.opts.onPermitRequest(ask),
-			onPermitResponse: (answer) => this.opts.onPermitResponse(answer),
+			onUsageAck: (ack) => this.opts.onUsageAck(ack),
+			onPermitRequest: (request) => this.opts.onPermitRequest(request),
+			onPermitResponse: (response) => this.opts.onPermitResponse(response),
 		});
-		this.news = new GossipExchange({
+		this.gossip = new GossipExchange({
 			clock,
 			log,
 			fleet,
 			selection: new AggregatorSelection(self),
 			self: self.address,
-			otherVms: listed,
+			otherVms,
 			seeds,
-			send: (to, news) => this.datagrams.sendGossip(to, news),
+			send: (to, message) => this.datagrams.sendGossip(to, message),
 		});
-		const { news } = this;
+		const { gossip } = this;
 		this.timer = new DueTimer(
 			clock,
-			() => news.dueAt,
-			() => news.sendDue(),
+			() => gossip.dueAt,
+			() => gossip.sendDue(),
 		);
-		this.transfers = new PeerTransfers({ log, getDocument: (target) => this.textOf(target) });
+		this.transfers = new PeerTransfers({ log, getDocument: (target) => this.contentOf(target) });
 	}
 
-	/** Where peers fetch what this VM has. */
+	/** HTTP server from which peers fetch the configuration and engines. */
 	get server(): http.Server {
 		return this.transfers.server;
 	}
 
+	/** Binds the datagram socket and starts to send gossip; the HTTP server is started by the caller. */
 	async start(): Promise<void> {
 		await this.datagrams.bind(this.opts.self.address);
-		this.news.update();
-		this.news.sendDue();
+		this.gossip.update();
+		this.gossip.sendDue();
 		this.timer.arm();
 	}
 
-	/** How long no news were sent, in milliseconds. */
+	/** Milliseconds since this VM last sent gossip. */
 	get sinceLastSendMs(): number {
-		return this.news.sinceLastSendMs;
+		return this.gossip.sinceLastSendMs;
 	}
 
 	sendUsage(to: HostPort, usage: UsageCounts): void {
 		this.datagrams.sendUsage(to, usage);
 	}
 
-	sendUsageAck(to: HostPort, taken: UsageAck): void {
-		this.datagrams.sendUsageAck(to, taken);
+	sendUsageAck(to: HostPort, ack: UsageAck): void {
+		this.datagrams.sendUsageAck(to, ack);
 	}
 
-	sendPermitRequest(to: HostPort, ask: PermitRequest): void {
-		this.datagrams.sendPermitRequest(to, ask);
+	sendPermitRequest(to: HostPort, request: PermitRequest): void {
+		this.datagrams.sendPermitRequest(to, request);
 	}
 
-	sendPermitResponse(to: HostPort, answer: PermitResponse): void {
-		this.datagrams.sendPermitResponse(to, answer);
+	sendPermitResponse(to: HostPort, response: PermitResponse): void {
+		this.datagrams.sendPermitResponse(to, response);
 	}
 
-	/** Something changed that peers should know. */
+	/** Schedules gossip soon, since something changed that peers should know. */
 	markChanged(): void {
-		this.news.markChanged();
+		this.gossip.markChanged();
 		this.timer.arm();
 	}
 
-	/** Looks anew who gathers this VM's news; called several times a second. */
+	/** Re-evaluates the aggregator of this VM; called several times a second. */
 	update(): void {
-		this.news.update();
+		this.gossip.update();
 		this.timer.arm();
 	}
 
-	/** This VM stops: others gather news from now on. */
+	/** Gives up the aggregator role before this VM stops. */
 	retire(): void {
-		this.news.retire();
+		this.gossip.retire();
 	}
 
-	/** Fetches the configuration of a peer; one call at a time, news come again soon. */
+	/** Fetches the configuration of a peer. A failed fetch is not retried here, since gossip soon triggers another. */
 	async fetchConfiguration(address: string): Promise<void> {
 		const text = await this.transfers.fetch(address, configurationPath);
 		if (text !== undefined) {
@@ -138,21 +144,21 @@
 		}
 	}
 
-	/** Fetches what changed among the engines that a peer knows; all of them if that is not enough. */
+	/** Fetches the engines that changed at a peer, or all of them if the changes do not apply to this VM's copy. */
 	async fetchEngines(address: string): Promise<void> {
 		const since = this.opts.enginesRevision();
 		const changed = await this.transfers.fetch(address, `${enginesPath}?since=${since}`);
-		if (changed === undefined || this.takeEngines(address, changed)) {
+		if (changed === undefined || this.applyEngines(address, changed)) {
 			return;
 		}
 		const all = await this.transfers.fetch(address, enginesPath);
 		if (all !== undefined) {
-			this.takeEngines(address, all);
+			this.applyEngines(address, all);
 		}
 	}
 
-	/** @returns whether it was enough; what cannot be read is logged, since asking again brings the same */
-	private takeEngines(address: string, text: string): boolean {
+	/** @returns false when a full copy is needed; not for an invalid copy, which another fetch would not mend */
+	private applyEngines(address: string, text: string): boolean {
 		try {
 			return this.opts.applyEngines(text);
 		} catch (err) {
@@ -161,9 +167,9 @@
 		}
 	}
 
-	/** Tells peers at once of something that cannot wait. */
+	/** Sends gossip at once, regardless of its schedule. */
 	sendNow(): void {
-		this.news.sendNow();
+		this.gossip.sendNow();
 		this.timer.arm();
 	}
 
@@ -173,12 +179,13 @@
 		this.transfers.close();
 	}
 
-	private receive(news: GossipMessage): void {
-		this.news.receive(news);
+	private receive(message: GossipMessage): void {
+		this.gossip.receive(message);
 		this.timer.arm();
 	}
 
-	private textOf(target: string): string | undefined {
+	/** Returns what a peer fetches under a path and query; undefined when this VM does not have it. */
+	private contentOf(target: string): string | undefined {
 		const { pathname, searchParams } = new URL(target, 'http://peer');
 		if (pathname === configurationPath) {
 			return this.opts.configurationText();
--- a/src/daemon/relay/relay-daemon.ts
+++ b/src/daemon/relay/relay-daemon.ts
@@ -1,5 +1,5 @@
 /**
- * Puts one relaying daemon together: callers in front, engines behind, the store beside.
+ * Assembles a relay daemon from its components, and starts and stops it.
  * @module
  */
 import type * as http from 'node:http';
@@ -33,16 +33,16 @@
 import { StoreRestoration } from './store-restoration.js';
 import { StoreSync } from './store-sync.js';
 
-/** Callers may have left meanwhile when the loop is so late, in milliseconds: a quarter of the shortest time they wait. */
-const lateMs = 100;
-/** Time between two looks for silent peers, and for what is old enough to be forgotten, in milliseconds. */
-const peerSweepMs = 1000;
-/** A VM waits so long after its start to know the others before it is ready, in milliseconds; a dozen calls. */
-const meetPeersMs = 500;
-/** Where nothing is done for the whole fleet. */
-const noDuties = { reported: 0, missed: 0, orders: 0 };
-/** Time between two looks whether a planned stop is done, in milliseconds. */
-const stopPollMs = 50;
+/** From this delay of the event loop on, callers may have disconnected unnoticed. */
+const lateLoopMs = 100;
+/** Interval between removals of silent peers and outdated state. */
+const sweepIntervalMs = 1000;
+/** Maximum time after the start that readiness waits for the VM registry to be read. */
+const peerDiscoveryMs = 500;
+/** Totals where the VM performs no duties. */
+const noDutyTotals = { reported: 0, missed: 0, orders: 0 };
+/** Poll interval of a graceful shutdown. */
+const shutdownPollMs = 50;
 
 export class RelayDaemon {
 	private readonly clock = new SystemClock();
@@ -51,15 +51,15 @@
 	private readonly transport = new UndiciEngineTransport(platform);
 	private readonly engines: EngineDirectory;
 	private readonly configuration: ConfigurationState;
-	private readonly startHold: StartupQueue;
+	private readonly startupQueue: StartupQueue;
 	private readonly relay: Relay;
-	private readonly budget: RetryBudget;
+	private readonly retryBudget: RetryBudget;
 	private readonly costs = new CostModel();
 	private readonly costReport: CostReport;
-	private readonly reading: StoreSync;
+	private readonly storeSync: StoreSync;
 	private readonly restoration: StoreRestoration;
-	private readonly links: FleetCoordinator;
-	/** Absent where nothing is done for the whole fleet. */
+	private readonly coordinator: FleetCoordinator;
+	/** Absent where the VM performs no duties. */
 	private readonly duties?: FleetDuties;
 	private readonly dutyApi?: platform.PlatformDutyApi;
 	private readonly quarantine: Quarantine;
@@ -70,25 +70,25 @@
 	private readonly metricsServer: http.Server;
 	private readonly timers: NodeJS.Timeout[] = [];
 	private readonly startedAt = this.clock.monotonic();
-	private readonly watch: EventLoopMonitor;
-	private readonly planned: GracefulShutdown;
+	private readonly loopMonitor: EventLoopMonitor;
+	private readonly shutdown: GracefulShutdown;
 
 	constructor(
 		private settings: RelaySettings,
 		private readonly log: Log,
-		/** Log lines that were not written, since the start. */
+		/** Number of log lines dropped since the start. */
 		linesDropped: () => number,
 		sizing: SizingStrategy = sizingStrategies.peak,
 	) {
 		const { clock, random, transport } = this;
-		const life = Math.floor(random.next() * 2 ** 32);
+		const incarnation = Math.floor(random.next() * 2 ** 32);
 		this.store = new platform.PlatformStore(settings.store.address, clock, ({ era }) => {
 			this.restoration.handleRestored(era);
 		});
 		this.quarantine = new Quarantine({
 			clock,
 			log,
-			onNews: () => this.links.peers.markChanged(),
+			onNews: () => this.coordinator.peers.markChanged(),
 			isPortClosed: (address) => transport.isPortClosed(address),
 		});
 		this.engines = new EngineDirectory({
@@ -98,32 +98,32 @@
 			idOf: platform.engineIdOf,
 			onAddressUnused: (address) => transport.closeIdleConnections(address),
 			onRemoved: (engine) => {
-				this.links.fleet.removeEngine(engine.incarnationKey);
-				this.links.limits.permits.removeEngine(engine.ref);
+				this.coordinator.fleet.removeEngine(engine.incarnationKey);
+				this.coordinator.limits.permits.removeEngine(engine.ref);
 				if (!engine.isDraining) {
 					this.quarantine.recordEngineCrash(engine.ref);
 				}
 			},
-			onChanged: () => this.reading.announceChange(),
-			onLoaded: () => this.startHold.release(),
+			onChanged: () => this.storeSync.announceChange(),
+			onLoaded: () => this.startupQueue.release(),
 		});
-		this.links = new FleetCoordinator({
+		this.coordinator = new FleetCoordinator({
 			settings: () => this.settings,
 			clock,
 			random,
 			log,
 			store: this.store,
 			vmPrefix: platform.keys.vms,
-			incarnation: life,
+			incarnation,
 			costs: this.costs,
 			quarantine: this.quarantine,
 			engines: this.engines,
 			configuration: () => this.configuration,
-			storeSync: () => this.reading,
+			storeSync: () => this.storeSync,
 			duties: () => this.duties,
 			sleep,
 		});
-		const { fleet, registry, peers, limits, health } = this.links;
+		const { fleet, registry, peers, limits, health } = this.coordinator;
 		this.quarantineRecords = new QuarantineRecords({
 			store: this.store,
 			clock,
@@ -131,8 +131,8 @@
 			prefix: platform.keys.quarantine,
 			quarantine: this.quarantine,
 			hasUnreachablePeers: () => fleet.size < (registry.size ?? 0),
-			isStoreUnavailable: () => !this.reading.isUpToDate,
-			onFirstRead: () => this.startHold.release(),
+			isStoreUnavailable: () => !this.storeSync.isUpToDate,
+			onFirstRead: () => this.startupQueue.release(),
 		});
 		this.configuration = new ConfigurationState({
 			log,
@@ -141,11 +141,11 @@
 			onApplied: (table) => {
 				fleet.configurationVersion = table.version;
 				this.front.configure(table.configuration.limits);
-				this.reading.handleConfigurationApplied();
-				this.startHold.release();
+				this.storeSync.handleConfigurationApplied();
+				this.startupQueue.release();
 			},
 		});
-		this.reading = new StoreSync({
+		this.storeSync = new StoreSync({
 			vm: settings.vm.id,
 			store: this.store,
 			clock,
@@ -171,7 +171,7 @@
 				settings: settings.duties,
 				sizing,
 				vm: settings.vm.id,
-				incarnation: life,
+				incarnation,
 				address: addressOf(settings.listen.peers),
 				api: this.dutyApi,
 				store: this.store,
@@ -182,7 +182,7 @@
 				fleet,
 				engines: this.engines,
 				limits: limits.ledger,
-				storeSync: () => this.reading,
+				storeSync: () => this.storeSync,
 				transport: () => peers,
 				services: () => this.configuration.table?.configuration.services ?? [],
 				registeredVmCount: () => registry.size,
@@ -190,7 +190,7 @@
 				onChanged: () => peers.sendNow(),
 			});
 		}
-		this.budget = new RetryBudget(settings.retries, () => this.links.vmCount);
+		this.retryBudget = new RetryBudget(settings.retries, () => this.coordinator.vmCount);
 		this.costReport = new CostReport(
 			log,
 			this.costs,
@@ -203,10 +203,10 @@
 			liveVms: () => fleet.size,
 			configurationVersion: () => this.configuration.version,
 			storeCalls: () => this.store.calls,
-			storeReachable: () => (this.reading.isUpToDate ? 1 : 0),
+			storeReachable: () => (this.storeSync.isUpToDate ? 1 : 0),
 			logLinesDropped: linesDropped,
 			duties: () => ({
-				...noDuties,
+				...noDutyTotals,
 				...this.duties?.totals,
 				token: this.duties?.fencingToken ?? 0,
 			}),
@@ -221,14 +221,14 @@
 			configuration: this.configuration,
 			registry,
 			quarantineRecords: this.quarantineRecords,
-			storeSync: this.reading,
+			storeSync: this.storeSync,
 			duties: this.duties,
 			onRestored: () => this.metrics.recordStoreRestored(),
 		});
 		this.metricsServer = createMetricsServer(() => this.metrics.render());
-		this.startHold = new StartupQueue({ clock, log, isLoaded: () => this.knowsEnough });
+		this.startupQueue = new StartupQueue({ clock, log, isLoaded: () => this.isLoaded });
 		this.relay = new Relay({
-			startupQueue: this.startHold,
+			startupQueue: this.startupQueue,
 			clock,
 			random,
 			log,
@@ -243,47 +243,48 @@
 			limits,
 			usage: this.duties,
 			onWorkChanged: () => peers.markChanged(),
-			retryBudget: this.budget,
+			retryBudget: this.retryBudget,
 			quarantine: this.quarantine,
 			routes: () => this.configuration.table,
-			isPossiblyStale: () => !this.reading.isUpToDate,
-			storeUnreachableMs: () => this.reading.storeUnreachableMs,
-			refusal: (route) => this.planned.refusal(route),
+			isPossiblyStale: () => !this.storeSync.isUpToDate,
+			storeUnreachableMs: () => this.storeSync.storeUnreachableMs,
+			refusal: (route) => this.shutdown.refusal(route),
 			metrics: this.metrics,
 		});
 		this.front = new RelayHttpServer({
 			clock,
 			log,
 			decode: platform.decodeRequest,
-			isEventLoopLagging: () => this.watch.delayMs > lateMs,
+			isEventLoopLagging: () => this.loopMonitor.delayMs > lateLoopMs,
 			handle: (req, res) => this.relay.handle(req, res),
 		});
-		this.watch = new EventLoopMonitor({
+		this.loopMonitor = new EventLoopMonitor({
 			clock,
 			log,
 			onDelay: (ms) => this.metrics.recordEventLoopDelay(ms),
-			onSuspended: () => this.reading.handleSuspension(),
+			onSuspended: () => this.storeSync.handleSuspension(),
 		});
-		this.planned = new GracefulShutdown(clock, () => this.settings.stopMs);
+		this.shutdown = new GracefulShutdown(clock, () => this.settings.stopMs);
 		this.readiness = createReadinessServer(() => this.isReady());
 	}
 
+	/** Opens the ports and starts all loops and timers. */
 	async start(): Promise<void> {
 		const { callers, readiness, peers, metrics } = this.settings.listen;
-		await this.links.peers.start();
-		// Before the ports are open: the store's answers take as long as that.
-		for (const loop of this.reading.follow()) {
-			this.runForever(loop);
+		await this.coordinator.peers.start();
+		// Started before the ports are opened, so that both proceed in parallel.
+		for (const loop of this.storeSync.follow()) {
+			this.supervise(loop);
 		}
-		this.runForever(this.quarantineRecords.update());
+		this.supervise(this.quarantineRecords.update());
 		await listenOn(this.metricsServer, metrics.host, metrics.port);
-		await listenOn(this.links.peers.server, peers.host, peers.port);
+		await listenOn(this.coordinator.peers.server, peers.host, peers.port);
 		await listenOn(this.front.server, callers.host, callers.port);
 		await listenOn(this.readiness, readiness.host, readiness.port);
-		this.runForever(this.links.registry.run());
-		this.watch.start();
+		this.supervise(this.coordinator.registry.run());
+		this.loopMonitor.start();
 		this.timers.push(setInterval(() => this.tick(), tickIntervalMs));
-		this.timers.push(setInterval(() => this.sweep(), peerSweepMs));
+		this.timers.push(setInterval(() => this.sweep(), sweepIntervalMs));
 		this.timers.push(setInterval(() => this.costReport.write(), costReportIntervalMs));
 		this.log.info('daemon.started', {
 			callers_port: callers.port,
@@ -292,33 +293,33 @@
 		});
 	}
 
-	/** Planned stop: not ready at once, open work ends, then the process may end. */
+	/** Shuts down gracefully: reports not ready at once, lets open requests finish and closes all connections. */
 	async stop(): Promise<void> {
-		if (this.planned.isStopping) {
+		if (this.shutdown.isStopping) {
 			return;
 		}
-		this.planned.begin();
+		this.shutdown.begin();
 		this.log.info('daemon.stopping', { requests: this.relay.openRequests });
 		this.front.disableKeepAlive();
-		this.links.retire();
+		this.coordinator.retire();
 		await this.duties?.release();
 		await sleep(streamAcceptanceMs);
-		while (this.front.openRequests > 0 && !this.planned.isDeadlineReached) {
+		while (this.front.openRequests > 0 && !this.shutdown.isDeadlineReached) {
 			this.front.closeIdleConnections();
-			await sleep(stopPollMs);
+			await sleep(shutdownPollMs);
 		}
 		this.relay.abortAll('the daemon stops');
 		this.front.server.close();
 		await this.close();
-		this.log.info('daemon.stopped', { took_ms: Math.round(this.planned.elapsedMs) });
+		this.log.info('daemon.stopped', { took_ms: Math.round(this.shutdown.elapsedMs) });
 	}
 
 	private async close(): Promise<void> {
-		this.reading.stop();
+		this.storeSync.stop();
 		for (const timer of this.timers) {
 			clearInterval(timer);
 		}
-		this.links.stop();
+		this.coordinator.stop();
 		this.metricsServer.close();
 		this.metricsServer.closeAllConnections();
 		this.readiness.close();
@@ -335,51 +336,54 @@
 	}
 
 	private tick(): void {
-		this.watch.tick();
-		this.links.update();
-		this.reading.update();
+		this.loopMonitor.tick();
+		this.coordinator.update();
+		this.storeSync.update();
 		this.engines.sweep();
 		this.relay.checkSilentEngines();
 		if (this.quarantineRecords.hasWork) {
-			this.runForever(this.quarantineRecords.update());
+			this.supervise(this.quarantineRecords.update());
 		}
 		if (this.duties) {
-			this.runForever(this.duties.update());
+			this.supervise(this.duties.update());
 		}
 	}
 
 	private sweep(): void {
-		this.links.sweep();
+		this.coordinator.sweep();
 		this.quarantine.sweep();
 	}
 
-	/** An error that is no failure of the store is a defect: the process ends and is started anew. */
-	private runForever(loop: Promise<void>): void {
-		loop.catch((err: Error) => {
+	/** Ends the process, to be restarted, when a task rejects: tasks handle store failures, so any other error is a defect. */
+	private supervise(task: Promise<void>): void {
+		task.catch((err: Error) => {
 			this.log.error('daemon.failed', { error: err.stack });
 			setImmediate(() => process.exit(1));
 		});
 	}
 
-	/** Takes in a changed settings file; addresses stay until the next start. */
+	/** Applies a changed settings file; changed addresses take effect only after a restart. */
 	reload(settings: RelaySettings): void {
 		this.settings = { ...settings, listen: this.settings.listen, vm: this.settings.vm };
-		this.budget.configure(settings.retries);
+		this.retryBudget.configure(settings.retries);
 		this.log.info('daemon.reloaded', { seeds: settings.seeds.length });
 	}
 
 	private isReady(): boolean {
-		return !this.planned.isStopping && this.knowsEnough && this.mayHaveMetPeers;
+		return !this.shutdown.isStopping && this.isLoaded && this.isPeerDiscoveryDone;
 	}
 
-	/** A VM that the store turns away before it knows any other would not hear of new configurations. */
-	private get mayHaveMetPeers(): boolean {
+	/**
+	 * Whether the VM registry was read or the wait for it is over. Without it, a VM that loses the store would not receive
+	 * new configurations from peers.
+	 */
+	private get isPeerDiscoveryDone(): boolean {
 		const runningMs = this.clock.monotonic() - this.startedAt;
-		return this.links.registry.size !== undefined || runningMs > meetPeersMs;
+		return this.coordinator.registry.size !== undefined || runningMs > peerDiscoveryMs;
 	}
 
-	/** Requests can be placed. */
-	private get knowsEnough(): boolean {
+	/** Whether everything that is needed to place requests was read. */
+	private get isLoaded(): boolean {
 		const isConfigured = this.configuration.table !== undefined && this.engines.hasLoaded;
 		return isConfigured && this.quarantineRecords.isReady;
 	}
--- a/src/daemon/relay/store-restoration.ts
+++ b/src/daemon/relay/store-restoration.ts
@@ -1,5 +1,5 @@
 /**
- * What a VM does when the store came back from an older copy: once for each era, by the first answer or by what a peer tells.
+ * Handles a restore of the store from an older copy, once per era, when an answer of the store or a peer reveals it.
  * @module
  */
 import type { Log } from '../../core/definitions.js';
@@ -20,18 +20,18 @@
 	registry: VmRegistry;
 	quarantineRecords: QuarantineRecords;
 	storeSync: StoreSync;
-	/** Absent where nothing is done for the whole fleet. */
+	/** Absent where the VM performs no duties. */
 	duties?: FleetDuties;
 	onRestored: () => void;
 }
 
 export class StoreRestoration {
-	/** The last era that this VM has taken in. */
-	private takenIn = 0;
+	/** Latest era that was handled. */
+	private handledEra = 0;
 
 	constructor(private readonly opts: StoreRestorationOptions) {}
 
-	/** Peers that the store answers may know of a new era before this VM has an answer of its own. */
+	/** Handles the era that a peer gossips; the peer may notice a restore before this VM. */
 	handlePeerEra(era: number): void {
 		const { store } = this.opts;
 		if (store.era > 0 && era > store.era) {
@@ -39,20 +39,13 @@
 		}
 	}
 
-	/** What this VM wrote to the store is written again, and what it knows that is newer stays. */
+	/** Writes this VM's entries to the store again and reads the rest anew; newer state of this VM is kept. */
 	handleRestored(era: number): void {
-		if (era <= this.takenIn) {
+		if (era <= this.handledEra) {
 			return;
 		}
-		this.takenIn = era;
-		const {
-			engines,
-			configuration,
-			duties,
-			registry,
-			quarantineRecords,
-			storeSync: reading,
-		} = this.opts;
+		this.handledEra = era;
+		const { engines, configuration, duties, registry, quarantineRecords, storeSync } = this.opts;
 		this.opts.log.warn('store.restored', {
 			era,
 			era_before: eraOf(engines.revision),
@@ -64,6 +57,6 @@
 		duties?.handleStoreRestored();
 		registry.scheduleRewrite();
 		quarantineRecords.handleStoreRestored();
-		reading.handleStoreRestored();
+		storeSync.handleStoreRestored();
 	}
 }
--- a/src/daemon/relay/store-sync.ts
+++ b/src/daemon/relay/store-sync.ts
@@ -1,6 +1,6 @@
 /**
- * How this VM learns what the store holds: by following it, or from peers that do. Ties the followers of
- * configuration and engines to the VM's turn of reading and to what peers tell.
+ * Keeps configuration and engines in step with the store: follows it while this VM is selected as a reader, and otherwise
+ * fetches changes from the peers that do.
  * @module
  */
 import type { Clock, Log, Random } from '../../core/definitions.js';
@@ -21,31 +21,31 @@
 import type { PeerExchange } from './peer-exchange.js';
 
 /**
- * Changes of engines within this share of the time that leaving engines have come with one call: each
- * change would wake a watch of every VM that reads the store.
+ * Pause between watches of engines, as a share of the drain time; batches changes, since each ends the watch of every
+ * reader.
  */
-const enginesPauseShare = 0.25;
+const enginesPauseRatio = 0.25;
 /**
- * Longest back-off while there is no configuration yet, in milliseconds: until then nothing can be served, but all VMs may
- * have started at once while the store is away.
+ * Maximum back-off before the first configuration. Short, since nothing can be served until then, but not negligible, since
+ * all VMs may start together while the store is unreachable.
  */
-const firstBackoffMs = 400;
+const startupBackoffMs = 400;
 
-/** Time between two looks whether the store answers the other follower, and the longest wait for it, in milliseconds. */
-const awaitedLookMs = 20;
-const mostAwaitedMs = 5000;
-/** In a large fleet the first watch waits so long after the start, in milliseconds: until the VMs have heard each other. */
-const firstWatchMs = 1000;
+/** Poll interval and maximum wait of the engines' follower until the configuration's follower reaches the store. */
+const reachablePollMs = 20;
+const maxReachableWaitMs = 5000;
+/** In a large fleet the first watch starts this long after the process, so that gossip of other VMs can arrive. */
+const firstWatchDelayMs = 1000;
 /**
- * No VM acts for the fleet sooner after its start, in milliseconds: VMs that start together each seem to be the first until
- * they have heard each other, and 81 of them would all ask the store for the duty.
+ * Time after the start before this VM is a candidate for the duty. VMs that start together each rank first until they
+ * receive gossip, and would all try to acquire it.
  */
-const firstDutyMs = 1500;
-/** Time between two looks whether the first watch may begin, in milliseconds. */
-const firstWatchLookMs = 20;
+const dutyDelayMs = 1500;
+/** Poll interval until the first watch may start. */
+const firstWatchPollMs = 20;
 
-/** How one prefix is followed. */
-type Reading = Pick<PrefixFollowerOptions, 'firstMayBeStale' | 'pauseMs' | 'backOff'>;
+/** Options that differ between the followers. */
+type FollowerBehavior = Pick<PrefixFollowerOptions, 'firstMayBeStale' | 'pauseMs' | 'backOff'>;
 
 export interface StoreSyncOptions {
 	vm: string;
@@ -53,22 +53,22 @@
 	clock: Clock;
 	random: Random;
 	log: Log;
-	/** Prefixes of the keys that are followed. */
+	/** Key prefixes that are followed. */
 	keys: { configuration: string; engines: string };
-	/** A leaving engine gets nothing new after this time, in milliseconds. */
+	/** Time after which a draining engine gets no new requests. */
 	drainMs: number;
 	configuration: ConfigurationState;
 	engines: EngineDirectory;
 	fleet: FleetView;
-	/** VMs that the store lists; undefined before they were read. */
+	/** Number of registered VMs, this one included; undefined before the registry was read. */
 	registeredVmCount: () => number | undefined;
-	/** Names of the VMs that are known, this one included. */
+	/** Names of the known VMs, this one included; a change replaces the array. */
 	vmNames: () => readonly string[];
-	/** Fencing token under which this VM acts for the whole fleet; undefined while it does not. */
+	/** Fencing token while this VM holds the duty; undefined otherwise. */
 	dutyToken: () => number | undefined;
-	/** A peer tells of the store's era. */
+	/** Called with the era of the store that a peer gossips. */
 	onPeerEra: (era: number) => void;
-	/** Given as a function, since peers are told of this object too. */
+	/** A function, since `PeerExchange` depends on this object too. */
 	peers: () => PeerExchange;
 	sleep: (ms: number) => Promise<void>;
 }
@@ -83,8 +83,8 @@
 		const { keys, configuration, engines, drainMs } = opts;
 		this.selection = new ReaderSelection(opts.vm);
 		this.startedAt = opts.clock.sinceBoot();
-		// By an old configuration new routes and keys would be denied; old engines are only found closed.
-		this.configurationFollower = this.follower(keys.configuration, configuration, {
+		// A stale configuration would deny new routes and keys; a stale engine list only leads to failed connections.
+		this.configurationFollower = this.createFollower(keys.configuration, configuration, {
 			firstMayBeStale: false,
 			pauseMs: 0,
 			backOff: opts.sleep,
@@ -92,21 +92,21 @@
 		const listener: PrefixListener = {
 			applySnapshot: (...args) => engines.applySnapshot(...args),
 			applyChanges: (changes) => engines.applyChanges(changes),
-			handleStoreLost: () => this.enginesLost(),
+			handleStoreLost: () => this.handleEnginesLost(),
 		};
-		this.enginesFollower = this.follower(keys.engines, listener, {
+		this.enginesFollower = this.createFollower(keys.engines, listener, {
 			firstMayBeStale: true,
-			pauseMs: drainMs * enginesPauseShare,
-			backOff: (ms) => this.sleepWhileAway(ms),
+			pauseMs: drainMs * enginesPauseRatio,
+			backOff: (ms) => this.backOffEngines(ms),
 		});
 	}
 
-	/** Time between two renewals of this VM's registration, in milliseconds. */
+	/** Interval between renewals of this VM's registration, in milliseconds. */
 	get renewalIntervalMs(): number {
 		return this.selection.renewalIntervalMs;
 	}
 
-	/** Whether what this VM knows of configuration and engines is up to date. */
+	/** Whether configuration and engines are current, read from the store or received from peers that reach it. */
 	get isUpToDate(): boolean {
 		if (this.selection.isReader) {
 			return this.followers.every((follower) => follower.isReachable);
@@ -114,40 +114,37 @@
 		return this.opts.fleet.countStoreReaders(maxContactAgeMs) > 0;
 	}
 
-	/**
-	 * Place of this VM among those that may act for the whole fleet, from 0: those that read the store, once the VMs know
-	 * each other.
-	 */
+	/** Rank of this VM among the candidates for the duty, from 0; undefined while it is not a candidate. */
 	get dutyRank(): number | undefined {
 		const knowsFleet =
 			this.opts.registeredVmCount() !== undefined &&
-			this.opts.clock.sinceBoot() - this.startedAt > firstDutyMs;
+			this.opts.clock.sinceBoot() - this.startedAt > dutyDelayMs;
 		return knowsFleet && this.followers.every((follower) => follower.isReachable)
 			? this.selection.readerRank
 			: undefined;
 	}
 
-	/** Whether others read the store for this VM, and none is heard that it answers. */
+	/** Whether this VM relies on others to read the store, and the store answers none of them. */
 	get isStoreUnavailable(): boolean {
 		return !this.selection.isReader && this.opts.fleet.countStoreReaders(maxContactAgeMs) === 0;
 	}
 
-	/** How long the store has not answered this VM, in milliseconds; since the start when it never did. */
+	/** Milliseconds since the store last answered this VM, or since the start if it never did. */
 	get storeUnreachableMs(): number {
 		const { clock, store } = this.opts;
 		return clock.sinceBoot() - Math.max(store.lastAnsweredAt, this.startedAt);
 	}
 
-	/** Follows until stopped; the loops end only by a defect. */
+	/** Starts the followers; their promises settle after `stop`, and reject only because of a defect. */
 	follow(): Promise<void>[] {
 		return this.followers.map((follower) => follower.follow());
 	}
 
-	/** Takes up or lays down reading the store; called several times a second. */
+	/** Starts or stops reading the store as the selection changes; called several times a second. */
 	update(): void {
 		const { fleet, clock, log } = this.opts;
 		const { selection } = this;
-		const before = selection.isReader;
+		const wasReader = selection.isReader;
 		const freshReaders = fleet.countStoreReaders(maxContactAgeMs);
 		const isDutyHolder = this.opts.dutyToken() !== undefined;
 		const snapshot = {
@@ -157,7 +154,7 @@
 			isDutyHolder,
 		};
 		selection.update(snapshot, clock.monotonic());
-		if (selection.isReader !== before) {
+		if (selection.isReader !== wasReader) {
 			log.info('store.reading', { reads: selection.isReader, peers: fleet.size - 1 });
 			for (const follower of this.followers) {
 				follower.setActive(selection.isReader);
@@ -169,20 +166,20 @@
 		}
 	}
 
-	/** A configuration came into force: engines are of use now, and peers hear of it at once. */
+	/** Follows the engines, which are not needed before a configuration, and announces the configuration to peers. */
 	handleConfigurationApplied(): void {
 		this.enginesFollower.setActive(this.selection.isReader);
 		this.announceChange();
 	}
 
-	/** Something that this VM read from the store changed: the others learn it at once. */
+	/** Sends gossip at once after a change, if this VM reads the store. */
 	announceChange(): void {
 		if (this.followers.some((follower) => follower.isReachable)) {
 			this.opts.peers().sendNow();
 		}
 	}
 
-	/** What peers are told; undefined while this VM does not read the store itself. */
+	/** Status to gossip to peers; undefined while this VM does not read the store itself. */
 	getStoreStatus(): StoreStatus | undefined {
 		if (!this.enginesFollower.isReachable) {
 			return undefined;
@@ -192,36 +189,36 @@
 		return { contactAgeMs: this.storeUnreachableMs, revision, digest, dutyToken };
 	}
 
-	/** A peer that reads the store told of it: changes of engines are fetched unless this VM reads it too. */
-	handlePeerStatus(address: string, store: StoreStatus): void {
+	/** Handles the status gossiped by a peer that reads the store: fetches changed engines unless this VM reads it too. */
+	handlePeerStatus(address: string, status: StoreStatus): void {
 		const { engines } = this.opts;
-		this.opts.onPeerEra(eraOf(store.revision));
-		const isNews = store.revision >= engines.revision && store.digest !== engines.digest;
-		const isFresh = store.contactAgeMs < maxContactAgeMs;
-		if (!this.enginesFollower.isReachable && isFresh && isNews) {
+		this.opts.onPeerEra(eraOf(status.revision));
+		const isChanged = status.revision >= engines.revision && status.digest !== engines.digest;
+		const isFresh = status.contactAgeMs < maxContactAgeMs;
+		if (!this.enginesFollower.isReachable && isFresh && isChanged) {
 			void this.opts.peers().fetchEngines(address);
 		}
 	}
 
-	/** Engines changed since a revision, as text for a peer; undefined while this VM does not read the store. */
+	/** Serializes the engines changed since a revision for a peer; undefined while this VM does not read the store. */
 	exportEngines(revision: number): string | undefined {
 		return this.enginesFollower.isReachable ? this.opts.engines.export(revision) : undefined;
 	}
 
-	/** Drops watches that may hang on a dead connection, and reads all again. */
+	/** Cancels watches, which may hang on a dead connection, and reads everything again. */
 	restart(): void {
 		for (const follower of this.followers) {
 			follower.restart();
 		}
 	}
 
-	/** The store came back from an older copy: registrations of engines that live may be missing there for a moment. */
+	/** Handles a restore from an older copy, in which registrations of live engines may be missing for a moment. */
 	handleStoreRestored(): void {
 		this.opts.engines.handleStoreLost();
 		this.restart();
 	}
 
-	/** The VM was suspended: what was read before proves nothing until it is read again. */
+	/** Marks the content as possibly stale after a suspension of the VM, until it is read again. */
 	handleSuspension(): void {
 		for (const follower of this.followers) {
 			follower.invalidate();
@@ -234,33 +231,36 @@
 		}
 	}
 
-	/** Engines are of no use before a configuration: an outage at the start is probed by one call, not two. */
-	private enginesLost(): void {
+	/** Pauses the engines' follower before the first configuration, so that only one call at a time probes the store. */
+	private handleEnginesLost(): void {
 		this.opts.engines.handleStoreLost();
 		if (this.opts.configuration.table === undefined) {
 			this.enginesFollower.setActive(false);
 		}
 	}
 
-	/** Waits until the fleet is known to be small, or whether this VM is one of those that read the store. */
-	private async untilRoleIsKnown(): Promise<void> {
-		const { clock, sleep, registeredVmCount: registeredVms } = this.opts;
-		const latest = this.startedAt + firstWatchMs;
-		const isSmall = () => (registeredVms() ?? Number.POSITIVE_INFINITY) <= smallFleetSize;
-		while (this.selection.isReader && !isSmall() && clock.sinceBoot() < latest) {
-			await sleep(firstWatchLookMs);
+	/** Waits until the fleet is known to be small, this VM is no reader, or the delay of the first watch has passed. */
+	private async waitForFirstWatch(): Promise<void> {
+		const { clock, sleep, registeredVmCount } = this.opts;
+		const deadline = this.startedAt + firstWatchDelayMs;
+		const isSmall = () => (registeredVmCount() ?? Number.POSITIVE_INFINITY) <= smallFleetSize;
+		while (this.selection.isReader && !isSmall() && clock.sinceBoot() < deadline) {
+			await sleep(firstWatchPollMs);
 		}
 	}
 
-	/** While the configuration cannot be read either, one follower asks for both: the engines are read once it succeeds. */
-	private async sleepWhileAway(ms: number): Promise<void> {
+	/**
+	 * Backs off the engines' follower. While the configuration's follower does not reach the store either, only that one
+	 * retries, and this one waits for its success.
+	 */
+	private async backOffEngines(ms: number): Promise<void> {
 		const { clock, sleep } = this.opts;
-		const until = clock.monotonic() + mostAwaitedMs;
+		const deadline = clock.monotonic() + maxReachableWaitMs;
 		if (this.configurationFollower.isReachable) {
 			await sleep(ms);
 		}
-		while (!this.configurationFollower.isReachable && clock.monotonic() < until) {
-			await sleep(awaitedLookMs);
+		while (!this.configurationFollower.isReachable && clock.monotonic() < deadline) {
+			await sleep(reachablePollMs);
 		}
 	}
 
@@ -268,17 +268,21 @@
 		return [this.configurationFollower, this.enginesFollower];
 	}
 
-	private follower(prefix: string, listener: PrefixListener, reading: Reading): PrefixFollower {
+	private createFollower(
+		prefix: string,
+		listener: PrefixListener,
+		behavior: FollowerBehavior,
+	): PrefixFollower {
 		const { store, clock, random, log, configuration, sleep } = this.opts;
 		const isFirst = () => configuration.table === undefined;
-		const maxBackoffMs = () => (isFirst() ? firstBackoffMs : this.selection.maxBackoffMs);
+		const maxBackoffMs = () => (isFirst() ? startupBackoffMs : this.selection.maxBackoffMs);
 		const common = { store, clock, random, log, maxBackoffMs, sleep };
 		return new PrefixFollower({
 			...common,
 			prefix,
 			listener,
-			beforeFirstWatch: () => this.untilRoleIsKnown(),
-			...reading,
+			beforeFirstWatch: () => this.waitForFirstWatch(),
+			...behavior,
 		});
 	}
 }
--- a/test/steps/due-timer.steps.ts
+++ b/test/steps/due-timer.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about the timer for whatever is due next, with timers that the test moves on.
+ * Steps for `DueTimer`, with mocked timers.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -12,11 +12,12 @@
 	timer: DueTimer;
 	now: number;
 	dueAt: number;
-	/** Times at which it fired. */
-	fired: number[];
-	/** Fires that came before anything was due. */
-	early: number;
-	everyMs: number;
+	/** Times at which the callback ran. */
+	firedAt: number[];
+	/** Number of runs before the deadline. */
+	earlyRuns: number;
+	/** Each run on time moves the deadline on by this. */
+	intervalMs: number;
 }
 
 const tests = new WeakMap<FleetWorld, TimerTest>();
@@ -27,9 +28,9 @@
 	return test;
 }
 
-/** The loop's timers see whole milliseconds, and fire when the loop's clock, which lags, says so. */
-function pass(test: TimerTest, ms: number): void {
-	for (let at = 0; at < ms; at++) {
+/** Advances the clock and the mocked timers, which fire at whole milliseconds, by one millisecond at a time. */
+function advance(test: TimerTest, ms: number): void {
+	for (let elapsedMs = 0; elapsedMs < ms; elapsedMs++) {
 		test.now++;
 		mock.timers.tick(1);
 	}
@@ -37,36 +38,46 @@
 
 cucumber.Given("a timer whose clock is 1 ms ahead of the loop's", function (this: FleetWorld) {
 	mock.timers.enable({ apis: ['setTimeout'] });
-	const test = { now: 1000.4, dueAt: Number.POSITIVE_INFINITY, fired: [], early: 0, everyMs: 0 };
-	const made = test as unknown as TimerTest;
-	const clock = { monotonic: () => made.now, sinceBoot: () => made.now, wall: () => made.now };
-	made.timer = new DueTimer(
+	const test = {
+		now: 1000.4,
+		dueAt: Number.POSITIVE_INFINITY,
+		firedAt: [],
+		earlyRuns: 0,
+		intervalMs: 0,
+	};
+	const timerTest = test as unknown as TimerTest;
+	const clock = {
+		monotonic: () => timerTest.now,
+		sinceBoot: () => timerTest.now,
+		wall: () => timerTest.now,
+	};
+	timerTest.timer = new DueTimer(
 		clock,
-		() => made.dueAt,
+		() => timerTest.dueAt,
 		() => {
-			made.fired.push(made.now);
-			if (made.now < made.dueAt) {
-				made.early++;
+			timerTest.firedAt.push(timerTest.now);
+			if (timerTest.now < timerTest.dueAt) {
+				timerTest.earlyRuns++;
 			} else {
-				made.dueAt += made.everyMs;
+				timerTest.dueAt += timerTest.intervalMs;
 			}
 		},
 	);
-	tests.set(this, made);
+	tests.set(this, timerTest);
 });
 
 cucumber.When(
 	'something is due after {int} ms, {int} times over',
 	function (this: FleetWorld, ms: number, times: number) {
 		const test = testOf(this);
-		test.everyMs = ms;
+		test.intervalMs = ms;
 		test.dueAt = test.now + ms;
 		test.timer.arm();
-		// The clock goes back a little against the loop: what was armed late in a turn of the loop fires early.
+		// Lets the clock lag behind the timers, as if the timer had been set late in a turn of the event loop.
 		test.now--;
-		while (test.fired.length < times) {
-			pass(test, 1);
-			if (test.fired.at(-1) === test.now) {
+		while (test.firedAt.length < times) {
+			advance(test, 1);
+			if (test.firedAt.at(-1) === test.now) {
 				test.now -= 0.7;
 			}
 		}
@@ -76,9 +87,9 @@
 cucumber.Then(
 	'the timer fired {int} times, each time when it was due',
 	function (this: FleetWorld, times: number) {
-		const { fired, early } = testOf(this);
-		assert.equal(fired.length, times);
-		assert.equal(early, 0);
+		const { firedAt, earlyRuns } = testOf(this);
+		assert.equal(firedAt.length, times);
+		assert.equal(earlyRuns, 0);
 	},
 );
 
@@ -86,21 +97,21 @@
 	'what is due is put off to {int} ms after {int} ms',
 	function (this: FleetWorld, laterMs: number, ms: number) {
 		const test = testOf(this);
-		test.fired = [];
+		test.firedAt = [];
 		test.dueAt = test.now + 250;
 		test.timer.arm();
-		pass(test, ms);
+		advance(test, ms);
 		test.dueAt = test.now + laterMs - ms;
 		test.timer.arm();
-		pass(test, laterMs - ms - 1);
+		advance(test, laterMs - ms - 1);
 	},
 );
 
 cucumber.Then('the timer did not fire before', function (this: FleetWorld) {
 	const test = testOf(this);
-	assert.deepEqual(test.fired, []);
-	pass(test, 10);
-	assert.equal(test.fired.length, 1);
+	assert.deepEqual(test.firedAt, []);
+	advance(test, 10);
+	assert.equal(test.firedAt.length, 1);
 	test.timer.stop();
 });
 
