--- a/src/core/configuration/check.ts
+++ b/src/core/configuration/check.ts
@@ -17,7 +17,7 @@
 export function checkConfiguration(
 	file: string,
 	text: string,
-): Promise<tomlDocument.Checked<Configuration>> {
+): Promise<tomlDocument.CheckResult<Configuration>> {
 	return tomlDocument.checkToml(file, text, configurationSchema, crossCheck);
 }
 
--- a/src/core/configuration/key-index.ts
+++ b/src/core/configuration/customer-key-index.ts
@@ -15,7 +15,7 @@
 	customer: Customer;
 }
 
-export class KeyIndex {
+export class CustomerKeyIndex {
 	private readonly buckets = new Map<string, Known[]>();
 
 	constructor(customers: readonly Customer[]) {
--- a/src/core/configuration/follower.ts
+++ b/src/core/configuration/follower.ts
@@ -35,12 +35,12 @@
 
 	constructor(private readonly opts: FollowerOptions) {}
 
-	get inForce(): VersionedConfiguration | undefined {
+	get active(): VersionedConfiguration | undefined {
 		return this.current;
 	}
 
 	/** Takes in a version from any source; true when it is now in force. */
-	offer(versioned: VersionedConfiguration): boolean {
+	applyIfNewer(versioned: VersionedConfiguration): boolean {
 		if (this.current && versioned.version <= this.current.version) {
 			return false;
 		}
@@ -104,7 +104,7 @@
 	private take(entry: KvEntry | undefined): void {
 		if (entry) {
 			this.rev = Math.max(this.rev, entry.rev);
-			this.offer(JSON.parse(entry.value) as VersionedConfiguration);
+			this.applyIfNewer(JSON.parse(entry.value) as VersionedConfiguration);
 		}
 	}
 }
--- a/src/core/configuration/view.ts
+++ b/src/core/configuration/view.ts
@@ -3,13 +3,13 @@
  * @module
  */
 import * as crypto from 'node:crypto';
-import { KeyIndex } from './key-index.js';
+import { CustomerKeyIndex } from './customer-key-index.js';
 import type { Configuration, Customer, Endpoint, Service, ServiceClass } from './schema.js';
 import { endpointStates } from './schema.js';
 import type { VersionedConfiguration } from './types.js';
 
 /** What a request asks for: a model or a plain service. */
-export type Target = `model:${string}` | `service:${string}`;
+export type RoutingTarget = `model:${string}` | `service:${string}`;
 
 /** A configuration with its indexes. Immutable. */
 export class ConfigurationView {
@@ -18,7 +18,7 @@
 	private readonly classes: Map<string, ServiceClass>;
 	private readonly services: Map<string, Service>;
 	private readonly endpoints: Map<string, Endpoint>;
-	private readonly keys: KeyIndex;
+	private readonly keys: CustomerKeyIndex;
 	private readonly eligibleCache = new Map<string, readonly Endpoint[]>();
 
 	constructor(versioned: VersionedConfiguration) {
@@ -27,23 +27,23 @@
 		this.classes = byName(versioned.document.classes);
 		this.services = byName(versioned.document.services);
 		this.endpoints = byName(versioned.document.endpoints);
-		this.keys = new KeyIndex(versioned.document.customers);
+		this.keys = new CustomerKeyIndex(versioned.document.customers);
 	}
 
-	classNamed(name: string): ServiceClass | undefined {
+	findClass(name: string): ServiceClass | undefined {
 		return this.classes.get(name);
 	}
 
-	serviceNamed(name: string): Service | undefined {
+	findService(name: string): Service | undefined {
 		return this.services.get(name);
 	}
 
-	endpointNamed(name: string): Endpoint | undefined {
+	findEndpoint(name: string): Endpoint | undefined {
 		return this.endpoints.get(name);
 	}
 
 	/** Customer of a bearer key. */
-	customerOfKey(key: string): Customer | undefined {
+	findCustomerByKey(key: string): Customer | undefined {
 		return this.keys.find(hashToken(key));
 	}
 
@@ -52,12 +52,12 @@
 	}
 
 	/** Models that a customer may ask for. */
-	models(): string[] {
+	listModels(): string[] {
 		return [...new Set(this.document.endpoints.flatMap((endpoint) => endpoint.models))].sort();
 	}
 
 	/** Active endpoints that serve a target for a class. */
-	eligible(target: Target, cls: string): readonly Endpoint[] {
+	findEligibleEndpoints(target: RoutingTarget, cls: string): readonly Endpoint[] {
 		const key = `${target} ${cls}`;
 		let list = this.eligibleCache.get(key);
 		if (!list) {
@@ -68,14 +68,14 @@
 	}
 }
 
-function serves(endpoint: Endpoint, target: Target, cls: string): boolean {
+function serves(endpoint: Endpoint, target: RoutingTarget, cls: string): boolean {
 	const [kind, name] = split(target);
 	const offers = kind === 'model' ? endpoint.models.includes(name) : endpoint.service === name;
 	const classOk = endpoint.classes.length === 0 || endpoint.classes.includes(cls);
 	return offers && classOk && endpoint.state === endpointStates.active;
 }
 
-function split(target: Target): [string, string] {
+function split(target: RoutingTarget): [string, string] {
 	const at = target.indexOf(':');
 	return [target.slice(0, at), target.slice(at + 1)];
 }
--- a/src/core/requests/caller-request.ts
+++ b/src/core/requests/caller-request.ts
@@ -2,7 +2,12 @@
  * Parses the request headers of callers: customer, class, deadline, idempotency key, repeatability.
  * @module
  */
-import type { ConfigurationView, Customer, ServiceClass, Target } from '../configuration/index.js';
+import type {
+	ConfigurationView,
+	Customer,
+	RoutingTarget,
+	ServiceClass,
+} from '../configuration/index.js';
 import * as errors from '../errors/index.js';
 
 /** Request headers that slategauge reads; documented in docs/CALLERS.md. */
@@ -33,7 +38,7 @@
 /** Returns the customer of the bearer key; throws `Unauthorized`. */
 export function readCustomer(cfg: ConfigurationView, headers: HeaderMap): Customer {
 	const match = /^Bearer (\S+)$/i.exec(headerOf(headers, 'authorization') ?? '');
-	const customer = match?.[1] ? cfg.customerOfKey(match[1]) : undefined;
+	const customer = match?.[1] ? cfg.findCustomerByKey(match[1]) : undefined;
 	if (!customer) {
 		throw new errors.UserError(errors.data.Unauthorized);
 	}
@@ -60,17 +65,17 @@
 export function isRepeatable(
 	cfg: ConfigurationView,
 	cls: ServiceClass,
-	target: Target,
+	target: RoutingTarget,
 	callerAllows: boolean,
 ): boolean {
 	const serviceName = target.startsWith('service:') ? target.slice('service:'.length) : undefined;
-	const service = serviceName === undefined ? true : cfg.serviceNamed(serviceName)?.repeatable;
+	const service = serviceName === undefined ? true : cfg.findService(serviceName)?.repeatable;
 	return cls.repeatable && callerAllows && service === true;
 }
 
 function readClass(cfg: ConfigurationView, customer: Customer, headers: HeaderMap): ServiceClass {
 	const name = headerOf(headers, callerHeaders.cls) ?? customer.default_class;
-	const cls = cfg.classNamed(name);
+	const cls = cfg.findClass(name);
 	const isAllowed = customer.classes.length === 0 || customer.classes.includes(name);
 	if (!cls || !isAllowed) {
 		throw new errors.UserError(errors.data.ClassNotAllowed, [name]);
--- a/src/core/requests/router.ts
+++ b/src/core/requests/router.ts
@@ -180,7 +180,7 @@
 	}
 
 	dispatchUrl(endpoint: string): string | undefined {
-		const known = this.cfg?.endpointNamed(endpoint);
+		const known = this.cfg?.findEndpoint(endpoint);
 		const mayDispatch = known?.state === 'active' && this.policy?.mayDispatch(endpoint);
 		return mayDispatch ? known.url : undefined;
 	}
@@ -253,7 +253,7 @@
 
 	/** Clears the avoided endpoints of a request once no other eligible endpoint is left. */
 	private clearAvoidedIfNoneLeft(req: Request): void {
-		const eligible = this.cfg?.eligible(req.target, req.cls.name) ?? [];
+		const eligible = this.cfg?.findEligibleEndpoints(req.target, req.cls.name) ?? [];
 		const now = this.clock.monotonic();
 		if (eligible.every((endpoint) => isAvoided(req, endpoint.name, now))) {
 			req.avoidUntil.clear();
--- a/src/core/requests/types.ts
+++ b/src/core/requests/types.ts
@@ -2,7 +2,7 @@
  * Types of a caller's request, independent of its transport.
  * @module
  */
-import type { ServiceClass, Target } from '../configuration/index.js';
+import type { RoutingTarget, ServiceClass } from '../configuration/index.js';
 
 /** Outcomes reported to callers. */
 export const outcomes = {
@@ -27,7 +27,7 @@
 	readonly customer: string;
 	/** Fair-share weight of the customer. */
 	readonly weight: number;
-	readonly target: Target;
+	readonly target: RoutingTarget;
 	readonly repeatable: boolean;
 	readonly idempotencyKey?: string;
 	readonly arrivedAt: number;
--- a/src/core/scheduling/floors.ts
+++ b/src/core/scheduling/floors.ts
@@ -2,7 +2,7 @@
  * Assigns the floor of each class to endpoints. Every daemon computes the same assignment.
  * @module
  */
-import type { ConfigurationView, Target } from '../configuration/index.js';
+import type { ConfigurationView, RoutingTarget } from '../configuration/index.js';
 import * as rendezvous from '../membership/rendezvous.js';
 
 /** Names of the classes whose floor an endpoint serves, by endpoint name. */
@@ -10,7 +10,7 @@
 	const floors = new Map<string, Set<string>>();
 	for (const target of targetsOf(cfg)) {
 		for (const cls of cfg.document.classes) {
-			const names = cfg.eligible(target, cls.name).map((endpoint) => endpoint.name);
+			const names = cfg.findEligibleEndpoints(target, cls.name).map((endpoint) => endpoint.name);
 			const key = `floor ${cls.name} ${target}`;
 			for (const name of rendezvous.pickTop(key, names, cls.floor)) {
 				const classes = floors.get(name) ?? new Set();
@@ -22,8 +22,8 @@
 	return floors;
 }
 
-function targetsOf(cfg: ConfigurationView): Set<Target> {
-	const targets = new Set<Target>();
+function targetsOf(cfg: ConfigurationView): Set<RoutingTarget> {
+	const targets = new Set<RoutingTarget>();
 	for (const endpoint of cfg.document.endpoints) {
 		for (const model of endpoint.models) {
 			targets.add(`model:${model}`);
--- a/src/core/scheduling/granted-policy.ts
+++ b/src/core/scheduling/granted-policy.ts
@@ -140,7 +140,7 @@
 	estimateWaitMs(state: SchedulingState, req: Request): number {
 		let completionsPerS = 0;
 		let waitingAhead = 0;
-		for (const endpoint of state.cfg.eligible(req.target, req.cls.name)) {
+		for (const endpoint of state.cfg.findEligibleEndpoints(req.target, req.cls.name)) {
 			const { lastReply } = this.heldSlots(endpoint.name);
 			completionsPerS += lastReply?.completionsPerS ?? 0;
 			waitingAhead = Math.max(waitingAhead, countWaitingUpTo(lastReply, req.cls.tier));
@@ -154,7 +154,7 @@
 
 	private assignNewGrants(state: SchedulingState, assignments: SlotAssignment[]): void {
 		for (const held of this.heldByEndpoint.values()) {
-			const endpoint = state.cfg.endpointNamed(held.endpoint);
+			const endpoint = state.cfg.findEndpoint(held.endpoint);
 			for (const grant of held.takeNewGrants()) {
 				const req = endpoint && this.selectForGrant(state, endpoint, grant.tier, grant.floorClass);
 				if (req) {
@@ -210,7 +210,7 @@
 	private findLeastLoadedIdle(state: SchedulingState, req: Request): HeldSlots | undefined {
 		let best: HeldSlots | undefined;
 		let bestLoad = Number.POSITIVE_INFINITY;
-		for (const endpoint of state.cfg.eligible(req.target, req.cls.name)) {
+		for (const endpoint of state.cfg.findEligibleEndpoints(req.target, req.cls.name)) {
 			const held = this.heldSlots(endpoint.name);
 			const isUsable = held.usableIdleSlots > 0 && !isAvoided(req, endpoint.name, state.now);
 			const load = isUsable ? held.load : Number.POSITIVE_INFINITY;
@@ -346,7 +346,7 @@
 }
 
 function isEligible(state: SchedulingState, endpoint: Endpoint, req: Request): boolean {
-	return state.cfg.eligible(req.target, req.cls.name).includes(endpoint);
+	return state.cfg.findEligibleEndpoints(req.target, req.cls.name).includes(endpoint);
 }
 
 function countWaitingUpTo(reply: OwnerReply | undefined, tier: number): number {
--- a/src/core/scheduling/independent-policy.ts
+++ b/src/core/scheduling/independent-policy.ts
@@ -68,7 +68,7 @@
 	private findLeastLoaded(state: SchedulingState, req: Request): Endpoint | undefined {
 		let best: Endpoint | undefined;
 		let bestLoad = Number.POSITIVE_INFINITY;
-		for (const endpoint of state.cfg.eligible(req.target, req.cls.name)) {
+		for (const endpoint of state.cfg.findEligibleEndpoints(req.target, req.cls.name)) {
 			const load = this.loadOf(endpoint, state.now);
 			if (load < bestLoad && !isAvoided(req, endpoint.name, state.now)) {
 				best = endpoint;
--- a/src/core/scheduling/owned-ledgers.ts
+++ b/src/core/scheduling/owned-ledgers.ts
@@ -117,7 +117,7 @@
 	/** Applies a changed configuration to existing ledgers. */
 	private configureLedgers(cfg: ConfigurationView): void {
 		for (const [name, ledger] of this.ledgers) {
-			const endpoint = cfg.endpointNamed(name);
+			const endpoint = cfg.findEndpoint(name);
 			if (endpoint) {
 				ledger.configure(this.limitsOf(endpoint));
 			}
--- a/src/core/settings/index.ts
+++ b/src/core/settings/index.ts
@@ -9,6 +9,9 @@
 export type { Settings } from './schema.js';
 
 /** Checks a settings file as a whole. */
-export function checkSettings(file: string, text: string): Promise<tomlDocument.Checked<Settings>> {
+export function checkSettings(
+	file: string,
+	text: string,
+): Promise<tomlDocument.CheckResult<Settings>> {
 	return tomlDocument.checkToml(file, text, settingsSchema);
 }
--- a/src/core/settings/toml-document.ts
+++ b/src/core/settings/toml-document.ts
@@ -13,7 +13,7 @@
 }
 
 /** Outcome of a check: the value, or what was found wrong. */
-export type Checked<T> =
+export type CheckResult<T> =
 	| { value: T; findings: [] }
 	| { value?: undefined; findings: errors.Finding[] };
 
@@ -28,7 +28,7 @@
 	text: string,
 	schema: zod.ZodType<T>,
 	crossCheck: CrossCheck<T> = () => [],
-): Promise<Checked<T>> {
+): Promise<CheckResult<T>> {
 	const toml = await import('toml-eslint-parser');
 	let ast: ReturnType<typeof toml.parseTOML>;
 	try {
@@ -48,7 +48,7 @@
 	const findings = issues.map((issue) => ({
 		file,
 		...nearestPlace(places, issue.path),
-		path: pathText(issue.path),
+		path: formatPath(issue.path),
 		message: issue.message,
 		hint: issue.hint,
 	}));
@@ -101,7 +101,7 @@
 	const node = raw as Node;
 	const own = node.type === 'TOMLTable' ? (node.resolvedKey ?? path) : path;
 	const remember = (at: (string | number)[], where: Node) => {
-		const key = pathText(at);
+		const key = formatPath(at);
 		if (!places.has(key)) {
 			places.set(key, { line: where.loc.start.line, column: where.loc.start.column + 1 });
 		}
@@ -127,7 +127,7 @@
 
 function nearestPlace(places: Map<string, Place>, path: (string | number)[]): Place {
 	for (let length = path.length; length > 0; length--) {
-		const place = places.get(pathText(path.slice(0, length)));
+		const place = places.get(formatPath(path.slice(0, length)));
 		if (place) {
 			return place;
 		}
@@ -136,7 +136,7 @@
 }
 
 /** `['classes', 0, 'tier']` as `classes[0].tier`. */
-export function pathText(path: readonly (string | number)[]): string {
+export function formatPath(path: readonly (string | number)[]): string {
 	let text = '';
 	for (const part of path) {
 		if (typeof part === 'number') {
--- a/src/daemon/daemon-control.ts
+++ b/src/daemon/daemon-control.ts
@@ -67,7 +67,7 @@
 	}
 
 	async order(name: string, kind: OrderKind, argument: string): Promise<number> {
-		const endpoint = this.daemon.configuration?.endpointNamed(name);
+		const endpoint = this.daemon.configuration?.findEndpoint(name);
 		if (!endpoint) {
 			throw new errors.UserError(errors.data.NotFound, [`endpoint ${name}`]);
 		}
@@ -90,12 +90,12 @@
 	}
 
 	configuration(): VersionedConfiguration | undefined {
-		return this.daemon.follower.inForce;
+		return this.daemon.follower.active;
 	}
 
 	async applyConfiguration(change: ChangeRequest): Promise<VersionedConfiguration> {
 		const versioned = await this.daemon.writer.write(change);
-		this.daemon.follower.offer(versioned);
+		this.daemon.follower.applyIfNewer(versioned);
 		return versioned;
 	}
 
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -105,7 +105,7 @@
 			token: settings.peers.token,
 			log,
 			random: this.random,
-			offer: (versioned) => this.follower.offer(versioned),
+			offer: (versioned) => this.follower.applyIfNewer(versioned),
 		});
 	}
 
@@ -213,7 +213,7 @@
 
 	private handleLoadReport(endpoint: string, report: LoadReport): void {
 		this.independentPolicy.applyLoadReport(endpoint, report);
-		const drained = this.view?.endpointNamed(endpoint)?.state !== 'active';
+		const drained = this.view?.findEndpoint(endpoint)?.state !== 'active';
 		this.fleetNode?.ownedLedgers.setUnavailable(endpoint, report.isDraining || drained);
 	}
 
--- a/src/daemon/relay/main.ts
+++ b/src/daemon/relay/main.ts
@@ -80,7 +80,7 @@
 /** Applies the settings file again; an unusable file is logged and changes nothing. */
 async function reload(daemon: RelayDaemon, file: string, log: Log): Promise<void> {
 	try {
-		const read = platform.readSettings(file, await readFile(file, 'utf8'));
+		const read = platform.parseSettings(file, await readFile(file, 'utf8'));
 		if (read.settings) {
 			daemon.reload(read.settings);
 			return;
@@ -102,7 +102,7 @@
 		process.stderr.write(`${file}: ${(err as Error).message}\n`);
 		process.exit(exitCodes.unreadable);
 	}
-	const read = platform.readSettings(file, text);
+	const read = platform.parseSettings(file, text);
 	if (!read.settings) {
 		for (const finding of read.findings) {
 			process.stderr.write(`${errors.formatFinding(finding)}\n`);
--- a/src/daemon/relay/relay-daemon.ts
+++ b/src/daemon/relay/relay-daemon.ts
@@ -94,7 +94,7 @@
 		this.engines = new EngineDirectory({
 			clock,
 			log,
-			decode: platform.decodeEngine,
+			decode: platform.decodeEngineRegistration,
 			idOf: platform.engineIdOf,
 			onAddressUnused: (address) => transport.closeIdleConnections(address),
 			onRemoved: (engine) => {
@@ -113,7 +113,7 @@
 			random,
 			log,
 			store: this.store,
-			vmPrefix: platform.keys.vms,
+			vmPrefix: platform.storeKeys.vms,
 			incarnation,
 			costs: this.costs,
 			quarantine: this.quarantine,
@@ -128,7 +128,7 @@
 			store: this.store,
 			clock,
 			log,
-			prefix: platform.keys.quarantine,
+			prefix: platform.storeKeys.quarantine,
 			quarantine: this.quarantine,
 			hasUnreachablePeers: () => fleet.size < (registry.size ?? 0),
 			isStoreUnavailable: () => !this.storeSync.isUpToDate,
@@ -136,7 +136,7 @@
 		});
 		this.configuration = new ConfigurationState({
 			log,
-			key: platform.keys.configuration,
+			key: platform.storeKeys.configuration,
 			decode: platform.decodeConfiguration,
 			onApplied: (table) => {
 				fleet.configurationVersion = table.version;
@@ -151,7 +151,7 @@
 			clock,
 			random,
 			log,
-			keys: platform.keys,
+			keys: platform.storeKeys,
 			drainMs: settings.drainMs,
 			configuration: this.configuration,
 			engines: this.engines,
@@ -178,7 +178,7 @@
 				clock,
 				random,
 				log,
-				keys: { holder: platform.keys.dutyHolder, reports: platform.keys.usageReports },
+				keys: { holder: platform.storeKeys.dutyHolder, reports: platform.storeKeys.usageReports },
 				fleet,
 				engines: this.engines,
 				limits: limits.ledger,
--- a/src/infra/callers/callers-server.ts
+++ b/src/infra/callers/callers-server.ts
@@ -4,7 +4,7 @@
  */
 import * as http from 'node:http';
 import type * as stream from 'node:stream';
-import type { ConfigurationView, Target } from '../../core/configuration/index.js';
+import type { ConfigurationView, RoutingTarget } from '../../core/configuration/index.js';
 import type { Clock, Log, Random } from '../../core/definitions.js';
 import * as errors from '../../core/errors/index.js';
 import * as callerRequest from '../../core/requests/caller-request.js';
@@ -101,7 +101,7 @@
 	): void {
 		callerRequest.readCustomer(cfg, req.headers);
 		const data = cfg
-			.models()
+			.listModels()
 			.map((id) => ({ id, object: 'model', created: 0, owned_by: 'slategauge' }));
 		sendJson(res, 200, { object: 'list', data });
 	}
@@ -115,7 +115,7 @@
 		const terms = callerRequest.readRequestOptions(cfg, req.headers);
 		const raw = await requestBody.readBody(req, this.opts.limits.body_bytes);
 		const parsed = requestBody.parseModelBody(raw, isChat);
-		const target: Target = `model:${parsed.model}`;
+		const target: RoutingTarget = `model:${parsed.model}`;
 		const template: CallTemplate = {
 			method: 'POST',
 			path: isChat ? modelPaths.chat : modelPaths.completion,
@@ -154,10 +154,10 @@
 	private makeRequest(
 		cfg: ConfigurationView,
 		terms: callerRequest.CallerRequestOptions,
-		target: Target,
+		target: RoutingTarget,
 		bytes: number,
 	): Request {
-		if (cfg.eligible(target, terms.cls.name).length === 0) {
+		if (cfg.findEligibleEndpoints(target, terms.cls.name).length === 0) {
 			throw new errors.UserError(errors.data.NotFound, [`${target} for class ${terms.cls.name}`]);
 		}
 		const now = this.opts.clock.monotonic();
--- a/src/platform/duty-api.ts
+++ b/src/platform/duty-api.ts
@@ -7,7 +7,7 @@
 import { dutyAnswers } from '../core/duties/definitions.js';
 import type { UsageReport } from '../core/duties/types.js';
 import type { HostPort } from '../core/relay/settings.js';
-import { headers } from './wire.js';
+import { headerNames } from './wire-names.js';
 
 /** The API answers in milliseconds, in a quarter of a second when it is slow. */
 const callTimeoutMs = 1500;
@@ -65,8 +65,8 @@
 				signal: AbortSignal.timeout(callTimeoutMs),
 				headers: {
 					'content-type': 'application/json',
-					[headers.dutyHolder]: caller.vm,
-					[headers.dutyToken]: String(caller.token),
+					[headerNames.dutyHolder]: caller.vm,
+					[headerNames.dutyToken]: String(caller.token),
 				},
 				body: JSON.stringify(body),
 			});
--- a/src/platform/engines.ts
+++ b/src/platform/engine-registrations.ts
@@ -5,7 +5,7 @@
 import './zod-setup.js';
 import * as zod from 'zod/mini';
 import type { EngineRegistration } from '../core/engines/types.js';
-import { keys } from './wire.js';
+import { storeKeys } from './wire-names.js';
 
 /** Everything that an engine writes; an entry that lacks any of it, or has it in another form, is not an engine's. */
 const schema = zod.object({
@@ -26,13 +26,13 @@
 
 /** Id of the engine that a key of the store belongs to. */
 export function engineIdOf(key: string): string {
-	return key.slice(keys.engines.length);
+	return key.slice(storeKeys.engines.length);
 }
 
 /**
  * @throws Error when the value is no engine's registration
  */
-export function decodeEngine(key: string, text: string): EngineRegistration {
+export function decodeEngineRegistration(key: string, text: string): EngineRegistration {
 	const raw = schema.parse(JSON.parse(text));
 	return {
 		id: engineIdOf(key),
--- a/src/platform/messages.ts
+++ b/src/platform/http-messages.ts
@@ -9,7 +9,7 @@
 	PromptSegment,
 	RawHeaders,
 } from '../core/relay/definitions.js';
-import { headers, routerOnlyHeaders } from './wire.js';
+import { headerNames, routerOnlyHeaders } from './wire-names.js';
 
 /** Headers that concern one connection only (RFC 9110, section 7.6.1). */
 const connectionHeaders: ReadonlySet<string> = new Set([
@@ -50,7 +50,7 @@
 	values: Map<string, string>;
 }
 
-export interface CallerHead {
+export interface RequestHead {
 	method: string;
 	target: string;
 	rawHeaders: RawHeaders;
@@ -58,27 +58,28 @@
 }
 
 /** @returns the request, or undefined when its head lacks an id or a host */
-export function decodeRequest(head: CallerHead, body: Buffer): CallerRequest | undefined {
+export function decodeRequest(head: RequestHead, body: Buffer): CallerRequest | undefined {
 	const read = readHead(head.rawHeaders);
 	const map = read.values;
-	const id = map.get(headers.attemptId);
+	const id = map.get(headerNames.attemptId);
 	const host = map.get('host');
 	if (id === undefined || host === undefined) {
 		return undefined;
 	}
-	const [promptTokens, mostAnswerTokens] = decodeTokens(map.get(headers.tokens));
-	const answerTokens = positiveNumber(map.get(headers.lengthHint)) ?? mostAnswerTokens * usualShare;
+	const [promptTokens, mostAnswerTokens] = decodeTokens(map.get(headerNames.tokenUsage));
+	const answerTokens =
+		positiveNumber(map.get(headerNames.lengthHint)) ?? mostAnswerTokens * usualShare;
 	return {
 		method: head.method,
 		target: head.target,
 		host,
 		id,
-		deadlineMs: positiveNumber(map.get(headers.deadline)),
+		deadlineMs: positiveNumber(map.get(headerNames.deadline)),
 		apiKey: bearerKey(map.get('authorization')),
-		promptSegments: decodeParts(map.get(headers.promptParts)),
+		promptSegments: decodeParts(map.get(headerNames.promptSegments)),
 		promptTokens,
 		answerTokens,
-		lastEventId: map.get(headers.lastEventId),
+		lastEventId: map.get(headerNames.lastEventId),
 		headers: requestHeaders(read, body.length),
 		body,
 		arrivedAt: head.arrivedAt,
@@ -88,18 +89,18 @@
 /** Headers of the request as it goes to an engine. */
 export function encodeCall(call: EngineCall): RawHeaders {
 	const raw = [...call.req.headers];
-	raw.push(headers.attemptId, call.req.id);
-	raw.push(headers.deadline, String(Math.max(1, Math.round(call.deadlineMs))));
-	raw.push(headers.expectInstance, call.engineId);
-	raw.push(headers.priority, String(call.urgency));
+	raw.push(headerNames.attemptId, call.req.id);
+	raw.push(headerNames.deadline, String(Math.max(1, Math.round(call.deadlineMs))));
+	raw.push(headerNames.expectInstance, call.engineId);
+	raw.push(headerNames.priority, String(call.urgency));
 	if (call.customer !== undefined) {
-		raw.push(headers.customer, call.customer);
+		raw.push(headerNames.customer, call.customer);
 	}
 	if (call.copyFrom !== undefined) {
-		raw.push(headers.copyFrom, call.copyFrom);
+		raw.push(headerNames.copyFrom, call.copyFrom);
 	}
 	if (call.lastEventId !== undefined) {
-		raw.push(headers.lastEventId, call.lastEventId);
+		raw.push(headerNames.lastEventId, call.lastEventId);
 	}
 	return raw;
 }
@@ -108,19 +109,19 @@
 	const read = readHead(rawHeaders);
 	const map = read.values;
 	const encoding = map.get('content-encoding');
-	const signed = map.has(headers.signature);
+	const signed = map.has(headerNames.signature);
 	return {
 		status,
-		id: map.get(headers.attemptId),
+		id: map.get(headerNames.attemptId),
 		isSigned: signed,
-		hasNotRun: status === 421 || map.has(headers.notExecuted),
+		hasNotRun: status === 421 || map.has(headerNames.notExecuted),
 		isFromOtherEngine: status === 421,
 		isFramed: map.has('content-length') || map.has('transfer-encoding'),
 		isEncoded: encoding !== undefined && encoding !== 'identity',
 		notice: {
-			isDraining: map.get(headers.leaving) === '1',
-			backOffS: status === 503 ? positiveNumber(map.get(headers.retryAfter)) : undefined,
-			limitPerS: decodeLimit(map.get(headers.limit)),
+			isDraining: map.get(headerNames.draining) === '1',
+			backOffS: status === 503 ? positiveNumber(map.get(headerNames.retryAfter)) : undefined,
+			limitPerS: decodeLimit(map.get(headerNames.rateLimit)),
 		},
 		headers: keepEndToEnd(read, connectionHeaders),
 	};
--- a/src/platform/index.ts
+++ b/src/platform/index.ts
@@ -4,8 +4,8 @@
  */
 export { decodeConfiguration } from './configuration.js';
 export { PlatformDutyApi } from './duty-api.js';
-export { decodeEngine, engineIdOf } from './engines.js';
-export { decodeAnswer, decodeRequest, encodeCall } from './messages.js';
-export { readSettings } from './settings.js';
+export { decodeEngineRegistration, engineIdOf } from './engine-registrations.js';
+export { decodeAnswer, decodeRequest, encodeCall } from './http-messages.js';
+export { parseSettings } from './settings.js';
 export { PlatformStore } from './store-client.js';
-export { keys } from './wire.js';
+export { storeKeys } from './wire-names.js';
--- a/src/platform/settings.ts
+++ b/src/platform/settings.ts
@@ -84,7 +84,7 @@
 	| { settings?: undefined; findings: Finding[] };
 
 /** Checks the whole text and returns the settings, or all findings with their place. */
-export function readSettings(file: string, text: string): SettingsResult {
+export function parseSettings(file: string, text: string): SettingsResult {
 	let json: unknown;
 	try {
 		json = JSON.parse(text);
--- a/src/platform/store-client.ts
+++ b/src/platform/store-client.ts
@@ -17,7 +17,7 @@
 import { eraOf, revisionIn, storedRevision } from '../core/store/revisions.js';
 import type { WireChanges, WireItem, WireRange } from './store-wire.js';
 import { decodeEra, toEvent, toItem } from './store-wire.js';
-import { headers } from './wire.js';
+import { headerNames } from './wire-names.js';
 
 /** An ordinary call; the store answers in 4 ms when well, up to 300 ms when slow. */
 const callTimeoutMs = 1000;
@@ -255,7 +255,7 @@
 				headers: opts.body && { 'content-type': 'application/json' },
 				body: opts.body && JSON.stringify(opts.body),
 			});
-			const era = this.noteEra(decodeEra(res.headers[headers.storeEra]));
+			const era = this.noteEra(decodeEra(res.headers[headerNames.storeEra]));
 			const text = await res.body.text();
 			if (res.statusCode < 429) {
 				this.answered = this.clock.sinceBoot();
--- a/src/platform/wire.ts
+++ b/src/platform/wire-names.ts
@@ -4,7 +4,7 @@
  */
 
 /** Headers of requests and answers, in lower case. */
-export const headers = {
+export const headerNames = {
 	attemptId: 'slategauge-attempt-id',
 	/** Milliseconds that the sender still waits. */
 	deadline: 'slategauge-deadline-ms',
@@ -14,9 +14,9 @@
 	customer: 'slategauge-tenant',
 	model: 'slategauge-model',
 	/** "Token usage": tokens of the prompt, then the most that may be generated. */
-	tokens: 'slategauge-token-usage',
+	tokenUsage: 'slategauge-token-usage',
 	/** "Prefix hash": all parts of the prompt in order, as ID:TOKENS. */
-	promptParts: 'slategauge-prefix-hash',
+	promptSegments: 'slategauge-prefix-hash',
 	/** Caller's guess of the tokens out. */
 	lengthHint: 'slategauge-length-hint',
 	/** Urgency at the engine, 0 to 9. */
@@ -26,9 +26,9 @@
 	/** Engine's proof that the answer is its own. */
 	signature: 'slategauge-response-signature',
 	/** Present in all answers of an engine that leaves. */
-	leaving: 'server-leaving',
+	draining: 'server-leaving',
 	/** Requests a second that an engine takes from all VMs together, in all its answers for as long as it needs that. */
-	limit: 'server-limit',
+	rateLimit: 'server-limit',
 	/** Seconds; of an engine: it wants nothing from this VM for so long. */
 	retryAfter: 'retry-after',
 	/** In answers of the store: rises by one each time it came back from an older copy. */
@@ -44,22 +44,22 @@
 
 /** Request headers that only the router sets; what a caller sends under these names is dropped. */
 export const routerOnlyHeaders: ReadonlySet<string> = new Set([
-	headers.attemptId,
-	headers.deadline,
-	headers.expectInstance,
-	headers.customer,
-	headers.priority,
-	headers.lastEventId,
+	headerNames.attemptId,
+	headerNames.deadline,
+	headerNames.expectInstance,
+	headerNames.customer,
+	headerNames.priority,
+	headerNames.lastEventId,
 	'slategauge-expect-version',
 	'slategauge-pin-ms',
 	'slategauge-retention',
 	'slategauge-kv-backup',
 	'kv-from',
-	headers.copyFrom,
+	headerNames.copyFrom,
 ]);
 
 /** Keys of the store. */
-export const keys = {
+export const storeKeys = {
 	/** The newest configuration. */
 	configuration: 'op/config',
 	/** Registrations of engines, one a start. */
--- a/test/steps/engine-notices.steps.ts
+++ b/test/steps/engine-notices.steps.ts
@@ -190,7 +190,7 @@
 	const directory = new EngineDirectory({
 		clock: clockOf(world),
 		log: silentLog,
-		decode: platform.decodeEngine,
+		decode: platform.decodeEngineRegistration,
 		idOf: platform.engineIdOf,
 		onAddressUnused() {},
 		onRemoved() {},
--- a/test/steps/lookups.steps.ts
+++ b/test/steps/lookups.steps.ts
@@ -5,8 +5,8 @@
 import * as assert from 'node:assert/strict';
 import * as cucumber from '@cucumber/cucumber';
 import { seeded } from '../../bench/random.js';
+import { CustomerKeyIndex } from '../../src/core/configuration/customer-key-index.js';
 import { hashToken } from '../../src/core/configuration/index.js';
-import { KeyIndex } from '../../src/core/configuration/key-index.js';
 import { OwnerMap } from '../../src/core/membership/owner-map.js';
 import * as rendezvous from '../../src/core/membership/rendezvous.js';
 
@@ -40,7 +40,7 @@
 			classes: [],
 			weight: 1,
 		}));
-		const keyIndex = new KeyIndex(customers);
+		const keyIndex = new CustomerKeyIndex(customers);
 		for (const [index, customer] of customers.entries()) {
 			assert.equal(keyIndex.find(hashToken(`key-${index}`)), customer);
 		}
--- a/test/steps/relay-fakes.ts
+++ b/test/steps/relay-fakes.ts
@@ -136,7 +136,7 @@
 
 export function registration(id: string, revision: number, part: Record<string, unknown> = {}) {
 	const value = JSON.stringify({ ...registered, ...part });
-	return { key: `${platform.keys.engines}${id}`, value, revision, lease: 0 };
+	return { key: `${platform.storeKeys.engines}${id}`, value, revision, lease: 0 };
 }
 
 export function newFleetView(world: FleetWorld): FleetView {
--- a/test/steps/relay-fleet.steps.ts
+++ b/test/steps/relay-fleet.steps.ts
@@ -60,7 +60,7 @@
 	const directory = new EngineDirectory({
 		clock: clockOf(world),
 		log: silentLog,
-		decode: platform.decodeEngine,
+		decode: platform.decodeEngineRegistration,
 		idOf: platform.engineIdOf,
 		onAddressUnused() {},
 		onRemoved: onGone,
@@ -175,7 +175,7 @@
 	'engine {string} registers and that of {string} ends',
 	function (this: FleetWorld, fresh: string, ended: string) {
 		const item = registration(fresh, 2);
-		const gone = { kind: 'gone' as const, key: platform.keys.engines + ended };
+		const gone = { kind: 'gone' as const, key: platform.storeKeys.engines + ended };
 		const changes = { events: [{ kind: 'put' as const, item }, gone], revision: 3 };
 		seen<EngineDirectory>(this, 'directory').applyChanges(changes);
 	},
@@ -257,7 +257,7 @@
 });
 
 cucumber.When('the registration of {string} ends', function (this: FleetWorld, id: string) {
-	const key = `${platform.keys.engines}${id}`;
+	const key = `${platform.storeKeys.engines}${id}`;
 	seen<EngineDirectory>(this, 'directory').applyChanges({
 		events: [{ kind: 'gone', key }],
 		revision: 2,
--- a/test/steps/relay-routing.steps.ts
+++ b/test/steps/relay-routing.steps.ts
@@ -92,7 +92,7 @@
 	function (this: FleetWorld, version: number) {
 		const state = new ConfigurationState({
 			log: silentLog,
-			key: platform.keys.configuration,
+			key: platform.storeKeys.configuration,
 			decode: platform.decodeConfiguration,
 			onApplied() {},
 		});
