--- a/src/core/configuration/check.ts
+++ b/src/core/configuration/check.ts
@@ -1,5 +1,5 @@
 /**
- * Checks a configuration as a whole: its schema, then what its parts say of each other.
+ * Validates a configuration: its schema, then the references between its parts.
  * @module
  */
 import * as rendezvous from '../membership/rendezvous.js';
@@ -13,7 +13,7 @@
 	hint?: string;
 }
 
-/** Checks a configuration file. */
+/** Validates a configuration file. */
 export function checkConfiguration(
 	file: string,
 	text: string,
@@ -21,41 +21,44 @@
 	return tomlDocument.checkToml(file, text, configurationSchema, crossCheck);
 }
 
-/** What the parts of a configuration say of each other. */
+/** Checks the uniqueness of names and keys, and the references between the parts of a configuration. */
 export function crossCheck(cfg: Configuration): Problem[] {
 	return [
-		...duplicates('classes', cfg.classes),
-		...duplicates('customers', cfg.customers),
-		...duplicates('endpoints', cfg.endpoints),
-		...duplicates('services', cfg.services),
-		...sharedHashes(cfg),
-		...sharedKeys(cfg),
-		...unknownClasses(cfg),
-		...endpointProblems(cfg),
+		...findDuplicateNames('classes', cfg.classes),
+		...findDuplicateNames('customers', cfg.customers),
+		...findDuplicateNames('endpoints', cfg.endpoints),
+		...findDuplicateNames('services', cfg.services),
+		...findHashCollisions(cfg),
+		...findDuplicateKeys(cfg),
+		...findUnknownClasses(cfg),
+		...findEndpointProblems(cfg),
 	];
 }
 
-function duplicates(list: string, items: readonly { name: string }[]): Problem[] {
+function findDuplicateNames(list: string, items: readonly { name: string }[]): Problem[] {
 	const seen = new Set<string>();
 	const problems: Problem[] = [];
 	for (const [index, item] of items.entries()) {
 		if (seen.has(item.name)) {
-			problems.push({ path: [list, index, 'name'], message: `${item.name} stands twice` });
+			problems.push({
+				path: [list, index, 'name'],
+				message: `the name ${item.name} is used more than once`,
+			});
 		}
 		seen.add(item.name);
 	}
 	return problems;
 }
 
-/** Classes stand as short hashes in messages between daemons. */
-function sharedHashes(cfg: Configuration): Problem[] {
+/** Messages between daemons identify classes by short hashes, which have to be unique. */
+function findHashCollisions(cfg: Configuration): Problem[] {
 	const seen = new Map<number, string>();
 	const problems: Problem[] = [];
 	for (const [index, { name }] of cfg.classes.entries()) {
 		const hash = rendezvous.hashName(name);
 		const other = seen.get(hash);
 		if (other !== undefined && other !== name) {
-			const message = `cannot be told from ${other} between daemons; choose another name`;
+			const message = `has the same short hash as ${other}; choose another name`;
 			problems.push({ path: ['classes', index, 'name'], message });
 		}
 		seen.set(hash, name);
@@ -63,16 +66,16 @@
 	return problems;
 }
 
-function sharedKeys(cfg: Configuration): Problem[] {
+function findDuplicateKeys(cfg: Configuration): Problem[] {
 	const owners = new Map<string, string>();
 	const problems: Problem[] = [];
 	for (const [index, customer] of cfg.customers.entries()) {
-		for (const [at, hash] of customer.key_hashes.entries()) {
+		for (const [hashIndex, hash] of customer.key_hashes.entries()) {
 			const owner = owners.get(hash);
 			if (owner !== undefined) {
 				problems.push({
-					path: ['customers', index, 'key_hashes', at],
-					message: `the same key belongs to ${owner}`,
+					path: ['customers', index, 'key_hashes', hashIndex],
+					message: `the key is already used by customer ${owner}`,
 				});
 			}
 			owners.set(hash, customer.name);
@@ -81,10 +84,10 @@
 	return problems;
 }
 
-function unknownClasses(cfg: Configuration): Problem[] {
+function findUnknownClasses(cfg: Configuration): Problem[] {
 	const known = new Set(cfg.classes.map((cls) => cls.name));
 	const problems: Problem[] = [];
-	const check = (cls: string, path: (string | number)[]) => {
+	const checkClass = (cls: string, path: (string | number)[]) => {
 		if (!known.has(cls)) {
 			problems.push({
 				path,
@@ -94,20 +97,20 @@
 		}
 	};
 	for (const [index, customer] of cfg.customers.entries()) {
-		check(customer.default_class, ['customers', index, 'default_class']);
-		for (const [at, cls] of customer.classes.entries()) {
-			check(cls, ['customers', index, 'classes', at]);
+		checkClass(customer.default_class, ['customers', index, 'default_class']);
+		for (const [classIndex, cls] of customer.classes.entries()) {
+			checkClass(cls, ['customers', index, 'classes', classIndex]);
 		}
 	}
 	for (const [index, endpoint] of cfg.endpoints.entries()) {
-		for (const [at, cls] of endpoint.classes.entries()) {
-			check(cls, ['endpoints', index, 'classes', at]);
+		for (const [classIndex, cls] of endpoint.classes.entries()) {
+			checkClass(cls, ['endpoints', index, 'classes', classIndex]);
 		}
 	}
 	return problems;
 }
 
-function endpointProblems(cfg: Configuration): Problem[] {
+function findEndpointProblems(cfg: Configuration): Problem[] {
 	const services = new Set(cfg.services.map((service) => service.name));
 	const problems: Problem[] = [];
 	for (const [index, endpoint] of cfg.endpoints.entries()) {
--- a/src/core/configuration/customer-key-index.ts
+++ b/src/core/configuration/customer-key-index.ts
@@ -1,22 +1,22 @@
 /**
- * Finds the customer of a bearer key among many. A few bits of the key's SHA-256 choose the hashes
- * to look at; those are compared in constant time. The bits tell nothing that helps to guess a key.
+ * Finds the customer of a bearer key. The first hex digits of the key's SHA-256 select a bucket, whose
+ * hashes are compared in constant time.
  * @module
  */
 import * as crypto from 'node:crypto';
 import type { Customer } from './schema.js';
 
-/** Hex digits of a hash that choose its bucket. */
+/** Leading hex digits of a hash that select its bucket. */
 const bucketDigits = 4;
 const hashPrefix = 'sha256:';
 
-interface Known {
+interface IndexedKey {
 	hash: Buffer;
 	customer: Customer;
 }
 
 export class CustomerKeyIndex {
-	private readonly buckets = new Map<string, Known[]>();
+	private readonly buckets = new Map<string, IndexedKey[]>();
 
 	constructor(customers: readonly Customer[]) {
 		for (const customer of customers) {
@@ -26,24 +26,25 @@
 		}
 	}
 
-	/** Customer of a hashed key; every hash of its bucket is compared. */
+	/** Finds the customer of a hashed key. Compares every hash of the bucket, so that timing reveals no match. */
 	find(hash: string): Customer | undefined {
-		const asked = Buffer.from(hash);
+		const wanted = Buffer.from(hash);
 		let found: Customer | undefined;
-		for (const known of this.buckets.get(bucketOf(hash)) ?? []) {
-			const same = known.hash.length === asked.length && crypto.timingSafeEqual(known.hash, asked);
-			found = same ? known.customer : found;
+		for (const candidate of this.buckets.get(bucketKey(hash)) ?? []) {
+			const isEqual =
+				candidate.hash.length === wanted.length && crypto.timingSafeEqual(candidate.hash, wanted);
+			found = isEqual ? candidate.customer : found;
 		}
 		return found;
 	}
 
 	private add(hash: string, customer: Customer): void {
-		const bucket = this.buckets.get(bucketOf(hash)) ?? [];
+		const bucket = this.buckets.get(bucketKey(hash)) ?? [];
 		bucket.push({ hash: Buffer.from(hash), customer });
-		this.buckets.set(bucketOf(hash), bucket);
+		this.buckets.set(bucketKey(hash), bucket);
 	}
 }
 
-function bucketOf(hash: string): string {
+function bucketKey(hash: string): string {
 	return hash.slice(hashPrefix.length, hashPrefix.length + bucketDigits);
 }
--- a/src/core/configuration/diff.ts
+++ b/src/core/configuration/diff.ts
@@ -1,13 +1,13 @@
 /**
- * What differs between two configurations, in words for operators.
+ * Describes the differences between two configurations for operators.
  * @module
  */
 import type { Configuration } from './schema.js';
 
-/** Longest description kept with a version, in characters. */
-const maxDescription = 400;
+/** Maximum length of the description stored with a version, in characters. */
+const maxDescriptionChars = 400;
 
-/** One line a difference. */
+/** @returns one line per difference */
 export function diffConfigurations(
 	before: Configuration | undefined,
 	after: Configuration,
@@ -25,39 +25,39 @@
 	return lines;
 }
 
-/** The differences in short, for a version's record. */
+/** @returns the differences on one line, shortened for storage with the version */
 export function describeChange(before: Configuration | undefined, after: Configuration): string {
 	const text = diffConfigurations(before, after).join('; ') || 'nothing';
-	return text.length > maxDescription ? `${text.slice(0, maxDescription)}…` : text;
+	return text.length > maxDescriptionChars ? `${text.slice(0, maxDescriptionChars)}…` : text;
 }
 
 type Named = { name: string };
 
 function diffLists(list: string, before: readonly Named[], after: readonly Named[]): string[] {
-	const old = new Map(before.map((item) => [item.name, item]));
+	const removed = new Map(before.map((item) => [item.name, item]));
 	const lines: string[] = [];
 	for (const item of after) {
-		const was = old.get(item.name);
-		old.delete(item.name);
-		if (was) {
-			lines.push(...diffFields(`${list}.${item.name}`, was, item));
+		const previous = removed.get(item.name);
+		removed.delete(item.name);
+		if (previous) {
+			lines.push(...diffFields(`${list}.${item.name}`, previous, item));
 		} else {
 			lines.push(`${list}.${item.name} added`);
 		}
 	}
-	for (const name of old.keys()) {
+	for (const name of removed.keys()) {
 		lines.push(`${list}.${name} removed`);
 	}
 	return lines;
 }
 
 function diffFields(path: string, before: object, after: object): string[] {
-	const old = before as Record<string, unknown>;
-	const fresh = after as Record<string, unknown>;
+	const previous = before as Record<string, unknown>;
+	const current = after as Record<string, unknown>;
 	const lines: string[] = [];
-	for (const key of new Set([...Object.keys(old), ...Object.keys(fresh)])) {
-		const from = JSON.stringify(old[key]);
-		const to = JSON.stringify(fresh[key]);
+	for (const key of new Set([...Object.keys(previous), ...Object.keys(current)])) {
+		const from = JSON.stringify(previous[key]);
+		const to = JSON.stringify(current[key]);
 		if (from !== to) {
 			lines.push(`${path}.${key}: ${from} -> ${to}`);
 		}
--- a/src/core/configuration/follower.ts
+++ b/src/core/configuration/follower.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the newest configuration in force: from the key-value service, by watch or slow read,
- * and from peers. An older version never replaces a newer one.
+ * Applies the newest configuration that the key-value service or a peer provides. An older version never
+ * replaces a newer one.
  * @module
  */
 import type { Clock, KvEntry, KvStore, Log, Random } from '../definitions.js';
@@ -8,11 +8,11 @@
 import { configurationKey } from './consts.js';
 import type { VersionedConfiguration } from './types.js';
 
-/** One watch waits for so long, in milliseconds. */
-const watchMs = 20_000;
-/** Daemons that do not watch read again after about so long, in milliseconds. */
-const slowReadMs = 30_000;
-/** Bounds of the back-off after a failed call, in milliseconds. */
+/** Maximum wait of one watch. */
+const maxWatchMs = 20_000;
+/** Mean interval between reads of a daemon that holds no watch, before jitter. */
+const pollIntervalMs = 30_000;
+/** Bounds of the back-off after a failed call. */
 const minBackoffMs = 200;
 const maxBackoffMs = 10_000;
 
@@ -21,16 +21,16 @@
 	clock: Clock;
 	random: Random;
 	log: Log;
-	/** Puts a version in force. */
+	/** Applies a version. */
 	apply: (versioned: VersionedConfiguration) => void;
-	/** Whether this daemon is one of the few that hold a watch. */
+	/** Whether this daemon holds a watch; only a few of the fleet do. */
 	isWatcher: () => boolean;
 	sleep: (ms: number) => Promise<void>;
 }
 
 export class ConfigurationFollower {
 	private current?: VersionedConfiguration;
-	private rev = 0;
+	private lastRevision = 0;
 	private stopped = false;
 
 	constructor(private readonly opts: FollowerOptions) {}
@@ -39,7 +39,10 @@
 		return this.current;
 	}
 
-	/** Takes in a version from any source; true when it is now in force. */
+	/**
+	 * Applies a version from any source if it is newer than the active one.
+	 * @returns whether it was applied
+	 */
 	applyIfNewer(versioned: VersionedConfiguration): boolean {
 		if (this.current && versioned.version <= this.current.version) {
 			return false;
@@ -58,7 +61,7 @@
 		let backoffMs = minBackoffMs;
 		while (!this.stopped) {
 			try {
-				await this.step();
+				await this.readOnce();
 				backoffMs = minBackoffMs;
 			} catch (err) {
 				if (!(err instanceof KvError)) {
@@ -74,26 +77,26 @@
 		}
 	}
 
-	private async step(): Promise<void> {
+	private async readOnce(): Promise<void> {
 		if (!this.current || this.opts.isWatcher()) {
 			const entry = await this.readNext();
-			this.take(entry);
+			this.applyEntry(entry);
 			return;
 		}
-		await this.opts.sleep(slowReadMs * (0.5 + this.opts.random.next()));
+		await this.opts.sleep(pollIntervalMs * (0.5 + this.opts.random.next()));
 		if (!this.stopped) {
-			this.take(await this.opts.kv.get(configurationKey));
+			this.applyEntry(await this.opts.kv.get(configurationKey));
 		}
 	}
 
-	/** A first read is at once; later ones wait for a change. */
+	/** The first read returns at once; later ones wait for a change. */
 	private readNext(): Promise<KvEntry | undefined> {
-		return this.rev === 0 && !this.current
-			? this.firstRead()
-			: this.opts.kv.watch(configurationKey, this.rev, watchMs);
+		return this.lastRevision === 0 && !this.current
+			? this.readFirst()
+			: this.opts.kv.watch(configurationKey, this.lastRevision, maxWatchMs);
 	}
 
-	private async firstRead(): Promise<KvEntry | undefined> {
+	private async readFirst(): Promise<KvEntry | undefined> {
 		const entry = await this.opts.kv.get(configurationKey);
 		if (!entry) {
 			await this.opts.sleep(minBackoffMs * (0.5 + this.opts.random.next()));
@@ -101,9 +104,9 @@
 		return entry;
 	}
 
-	private take(entry: KvEntry | undefined): void {
+	private applyEntry(entry: KvEntry | undefined): void {
 		if (entry) {
-			this.rev = Math.max(this.rev, entry.rev);
+			this.lastRevision = Math.max(this.lastRevision, entry.rev);
 			this.applyIfNewer(JSON.parse(entry.value) as VersionedConfiguration);
 		}
 	}
--- a/src/core/configuration/index.ts
+++ b/src/core/configuration/index.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' configuration.
+ * The operators' configuration: schema, validation and look-ups.
  * @module
  */
 export * from './check.js';
--- a/src/core/configuration/schema.ts
+++ b/src/core/configuration/schema.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' configuration: one document for the whole fleet, kept in the key-value service.
+ * Schema of the operators' configuration: one document for the whole fleet, stored in the key-value service.
  * @module
  */
 import * as zod from 'zod';
@@ -7,7 +7,7 @@
 const name = zod
 	.string()
 	.regex(/^[a-z0-9][a-z0-9._-]{0,62}$/, 'expected lower-case letters, digits, dots and hyphens');
-const millis = zod.int('expected a number of milliseconds').min(1);
+const durationMs = zod.int('expected a number of milliseconds').min(1);
 const tokenHash = zod
 	.string()
 	.regex(
@@ -15,47 +15,47 @@
 		'expected sha256: and 64 hex digits; make one with `slategauge hash-token`',
 	);
 
-/** Which policy decides the request that runs next. */
+/** Scheduling policy that chooses the next request to run. */
 export const policies = {
-	/** Each endpoint's owner grants its slots over the whole fleet. */
+	/** The owner of each endpoint grants its slots to the whole fleet. */
 	granted: 'granted',
-	/** Each daemon alone, least-loaded by load report; the baseline. */
+	/** Each daemon decides alone and chooses the least-loaded endpoint by load reports. */
 	independent: 'independent',
 } as const;
 
 /** Kinds of endpoint. */
 export const endpointKinds = { engine: 'engine', service: 'service' } as const;
 
-/** What operators may say of an endpoint. */
+/** State of an endpoint that operators set. */
 export const endpointStates = { active: 'active', drained: 'drained' } as const;
 
 const serviceClass = zod.strictObject({
 	name,
 	/** 1 is the highest tier. */
 	tier: zod.int().min(1).max(16),
-	/** Target of the first token, in milliseconds. */
-	first_token_ms: millis,
-	/** Target between two tokens, in milliseconds. @default 100 */
-	between_tokens_ms: millis.default(100),
-	/** An answer that ends later is of no use, in milliseconds after the request came. */
-	deadline_ms: millis,
-	/** A request that waits so long for a start is given up, in milliseconds. @default deadline_ms */
-	patience_ms: millis.optional(),
+	/** Target for the time to the first token, in milliseconds. */
+	first_token_ms: durationMs,
+	/** Target for the time between two tokens, in milliseconds. @default 100 */
+	between_tokens_ms: durationMs.default(100),
+	/** Time after the request's arrival by which the answer has to be complete, in milliseconds. */
+	deadline_ms: durationMs,
+	/** Maximum time that a request waits to start, in milliseconds. @default deadline_ms */
+	patience_ms: durationMs.optional(),
 	/** Requests may run more than once. @default true */
 	repeatable: zod.boolean().default(true),
-	/** Requests of this class that may always run, fleet-wide, whatever the burst. @default 1 */
+	/** Slots reserved for this class, fleet-wide. @default 1 */
 	floor: zod.int().min(0).max(64).default(1),
 });
 
 const customer = zod.strictObject({
 	name,
-	/** SHA-256 of each bearer key. */
+	/** SHA-256 hash of each bearer key. */
 	key_hashes: zod.array(tokenHash).min(1),
-	/** Class of requests that name none. */
+	/** Class of requests without a class. */
 	default_class: name,
 	/** Classes this customer may use; empty for all. @default [] */
 	classes: zod.array(name).default([]),
-	/** Share of a tier beside other customers. @default 1 */
+	/** Weight of this customer's share of a tier. @default 1 */
 	weight: zod.number().positive().default(1),
 });
 
@@ -63,21 +63,21 @@
 	name,
 	/** `engine` or `service`. @default 'engine' */
 	kind: zod.enum(endpointKinds).default('engine'),
-	/** Base URL, by IP number. */
+	/** Base URL with an IP address. */
 	url: zod.url('expected a URL, such as http://10.0.1.5:9000'),
-	/** Failure domain that the endpoint stands in. */
+	/** Failure domain of the endpoint. */
 	failure_domain: zod.string().min(1).optional(),
-	/** Models of an engine. @default [] */
+	/** Models that an engine serves. @default [] */
 	models: zod.array(name).default([]),
-	/** Plain service that a service endpoint belongs to. */
+	/** Service that a service endpoint belongs to. */
 	service: name.optional(),
-	/** Classes served; empty for all. @default [] */
+	/** Classes that the endpoint serves; empty for all. @default [] */
 	classes: zod.array(name).default([]),
-	/** Running requests at the start, before a limit is learned. @default 16 */
+	/** Initial concurrency limit, until one is learned. @default 16 */
 	slots: zod.int().min(1).max(4096).default(16),
-	/** Largest limit that may be learned. @default 256 */
+	/** Maximum concurrency limit that may be learned. @default 256 */
 	max_slots: zod.int().min(1).max(4096).default(256),
-	/** Whether the endpoint checks fencing tokens of orders. @default false */
+	/** Whether the endpoint checks the fencing tokens of orders. @default false */
 	checks_fencing: zod.boolean().default(false),
 	/** `active` or `drained`. @default 'active' */
 	state: zod.enum(endpointStates).default('active'),
@@ -90,20 +90,19 @@
 });
 
 const operators = zod.strictObject({
-	/** SHA-256 of each operator's token. */
+	/** SHA-256 hash of each operator's token. */
 	token_hashes: zod.array(tokenHash).min(1),
 });
 
 const policy = zod.strictObject({
 	/** @default 'granted' */
 	name: zod.enum(policies).default('granted'),
-	/** Learn limits; else `slots` stays. @default true */
+	/** Whether to learn concurrency limits; otherwise `slots` is the limit. @default true */
 	learn_limits: zod.boolean().default(true),
-	/** A request that waited for this share of its first-token target may preempt. @default 0.5 */
+	/** Fraction of its first-token target that a request waits before it may preempt another. @default 0.5 */
 	preempt_after: zod.number().min(0).max(10).default(0.5),
 });
 
-/** The whole document. */
 export const configurationSchema = zod.strictObject({
 	policy: policy.default(policy.parse({})),
 	operators,
--- a/src/core/configuration/types.ts
+++ b/src/core/configuration/types.ts
@@ -1,20 +1,20 @@
 /**
- * A configuration with its version, as it is kept in the key-value service.
+ * A configuration with its version, as stored in the key-value service.
  * @module
  */
 import type { Configuration } from './schema.js';
 
-/** What stands under the configuration's key. */
+/** Value stored under the configuration's key. */
 export interface VersionedConfiguration {
-	/** Grows by one with each accepted change. */
+	/** Increases by one with each accepted change. */
 	version: number;
-	/** Random id of the operation that wrote it; settles lost replies. */
+	/** Random id of the write; identifies it when its reply was lost. */
 	operation: string;
 	/** Operator who wrote it. */
 	by: string;
-	/** Milliseconds since 1970. */
+	/** Time of the write, in Unix milliseconds. */
 	at: number;
-	/** What changed against the version before, in short. */
+	/** Short description of the changes since the previous version. */
 	changed: string;
 	document: Configuration;
 }
--- a/src/core/configuration/view.ts
+++ b/src/core/configuration/view.ts
@@ -1,5 +1,5 @@
 /**
- * Look-ups over a configuration in force.
+ * Indexed look-ups in the active configuration.
  * @module
  */
 import * as crypto from 'node:crypto';
@@ -8,10 +8,10 @@
 import { endpointStates } from './schema.js';
 import type { VersionedConfiguration } from './types.js';
 
-/** What a request asks for: a model or a plain service. */
+/** Model or service that a request is routed to. */
 export type RoutingTarget = `model:${string}` | `service:${string}`;
 
-/** A configuration with its indexes. Immutable. */
+/** An immutable configuration with its indexes. */
 export class ConfigurationView {
 	readonly version: number;
 	readonly document: Configuration;
@@ -19,14 +19,14 @@
 	private readonly services: Map<string, Service>;
 	private readonly endpoints: Map<string, Endpoint>;
 	private readonly keys: CustomerKeyIndex;
-	private readonly eligibleCache = new Map<string, readonly Endpoint[]>();
+	private readonly eligibleEndpoints = new Map<string, readonly Endpoint[]>();
 
 	constructor(versioned: VersionedConfiguration) {
 		this.version = versioned.version;
 		this.document = versioned.document;
-		this.classes = byName(versioned.document.classes);
-		this.services = byName(versioned.document.services);
-		this.endpoints = byName(versioned.document.endpoints);
+		this.classes = indexByName(versioned.document.classes);
+		this.services = indexByName(versioned.document.services);
+		this.endpoints = indexByName(versioned.document.endpoints);
 		this.keys = new CustomerKeyIndex(versioned.document.customers);
 	}
 
@@ -42,59 +42,59 @@
 		return this.endpoints.get(name);
 	}
 
-	/** Customer of a bearer key. */
 	findCustomerByKey(key: string): Customer | undefined {
 		return this.keys.find(hashToken(key));
 	}
 
 	isOperator(token: string): boolean {
-		return anyEqual(this.document.operators.token_hashes, hashToken(token));
+		return includesHash(this.document.operators.token_hashes, hashToken(token));
 	}
 
-	/** Models that a customer may ask for. */
+	/** Lists the models of all endpoints, sorted by name. */
 	listModels(): string[] {
 		return [...new Set(this.document.endpoints.flatMap((endpoint) => endpoint.models))].sort();
 	}
 
-	/** Active endpoints that serve a target for a class. */
+	/** Finds the active endpoints that serve a target for a class; cached. */
 	findEligibleEndpoints(target: RoutingTarget, cls: string): readonly Endpoint[] {
 		const key = `${target} ${cls}`;
-		let list = this.eligibleCache.get(key);
+		let list = this.eligibleEndpoints.get(key);
 		if (!list) {
-			list = this.document.endpoints.filter((endpoint) => serves(endpoint, target, cls));
-			this.eligibleCache.set(key, list);
+			list = this.document.endpoints.filter((endpoint) => isEligible(endpoint, target, cls));
+			this.eligibleEndpoints.set(key, list);
 		}
 		return list;
 	}
 }
 
-function serves(endpoint: Endpoint, target: RoutingTarget, cls: string): boolean {
-	const [kind, name] = split(target);
-	const offers = kind === 'model' ? endpoint.models.includes(name) : endpoint.service === name;
-	const classOk = endpoint.classes.length === 0 || endpoint.classes.includes(cls);
-	return offers && classOk && endpoint.state === endpointStates.active;
+function isEligible(endpoint: Endpoint, target: RoutingTarget, cls: string): boolean {
+	const [kind, name] = splitTarget(target);
+	const hasTarget = kind === 'model' ? endpoint.models.includes(name) : endpoint.service === name;
+	const servesClass = endpoint.classes.length === 0 || endpoint.classes.includes(cls);
+	return hasTarget && servesClass && endpoint.state === endpointStates.active;
 }
 
-function split(target: RoutingTarget): [string, string] {
-	const at = target.indexOf(':');
-	return [target.slice(0, at), target.slice(at + 1)];
+function splitTarget(target: RoutingTarget): [string, string] {
+	const separator = target.indexOf(':');
+	return [target.slice(0, separator), target.slice(separator + 1)];
 }
 
-function byName<T extends { name: string }>(items: readonly T[]): Map<string, T> {
+function indexByName<T extends { name: string }>(items: readonly T[]): Map<string, T> {
 	return new Map(items.map((item) => [item.name, item]));
 }
 
-/** Form in which tokens are kept. */
+/** Hashes a key or token into the form that the configuration contains. */
 export function hashToken(token: string): string {
 	return `sha256:${crypto.createHash('sha256').update(token).digest('hex')}`;
 }
 
-function anyEqual(hashes: readonly string[], hash: string): boolean {
-	let equal = false;
-	for (const known of hashes) {
-		const same =
-			known.length === hash.length && crypto.timingSafeEqual(Buffer.from(known), Buffer.from(hash));
-		equal = equal || same;
+function includesHash(hashes: readonly string[], hash: string): boolean {
+	let isFound = false;
+	for (const candidate of hashes) {
+		const isEqual =
+			candidate.length === hash.length &&
+			crypto.timingSafeEqual(Buffer.from(candidate), Buffer.from(hash));
+		isFound = isFound || isEqual;
 	}
-	return equal;
+	return isFound;
 }
--- a/src/core/configuration/writer.ts
+++ b/src/core/configuration/writer.ts
@@ -1,6 +1,6 @@
 /**
- * Accepts a new configuration: compare-and-swap on the version, lost replies settled by reading
- * back, and a loser hears who won.
+ * Writes a new configuration by compare-and-swap on its version. A write whose reply was lost is
+ * confirmed by reading back; a conflict reports the version that was accepted instead.
  * @module
  */
 import type { Clock, KvEntry, KvStore, Random } from '../definitions.js';
@@ -11,8 +11,8 @@
 import type { Configuration } from './schema.js';
 import type { VersionedConfiguration } from './types.js';
 
-/** Times a lost reply is read back. */
-const readBackTries = 5;
+/** Attempts of a read before it fails. */
+const maxReadAttempts = 5;
 
 export interface WriterOptions {
 	kv: KvStore;
@@ -21,10 +21,10 @@
 	sleep: (ms: number) => Promise<void>;
 }
 
-/** A change as an operator asks for it. */
+/** A change that an operator requests. */
 export interface ChangeRequest {
 	document: Configuration;
-	/** Version that the change builds on; 0 for the first. */
+	/** Version that the change is based on; 0 for the first. */
 	base: number;
 	by: string;
 }
@@ -32,12 +32,15 @@
 export class ConfigurationWriter {
 	constructor(private readonly opts: WriterOptions) {}
 
-	/** Resolves with the accepted version; rejects with a `UserError`. */
+	/**
+	 * @returns the accepted version
+	 * @throws UserError on a conflict or when the key-value service is unavailable
+	 */
 	async write(change: ChangeRequest): Promise<VersionedConfiguration> {
 		const entry = await this.read();
 		const current = entry ? (JSON.parse(entry.value) as VersionedConfiguration) : undefined;
 		if ((current?.version ?? 0) !== change.base) {
-			throw conflict(current);
+			throw conflictError(current);
 		}
 		const next: VersionedConfiguration = {
 			version: change.base + 1,
@@ -52,8 +55,8 @@
 
 	private async swap(rev: number, next: VersionedConfiguration): Promise<VersionedConfiguration> {
 		try {
-			const swap = await this.opts.kv.compareAndSwap(configurationKey, rev, JSON.stringify(next));
-			if (swap.swapped) {
+			const result = await this.opts.kv.compareAndSwap(configurationKey, rev, JSON.stringify(next));
+			if (result.swapped) {
 				return next;
 			}
 		} catch (err) {
@@ -61,18 +64,18 @@
 				throw err;
 			}
 		}
-		return this.settle(next);
+		return this.confirmWrite(next);
 	}
 
-	/** The write lost, or its reply was lost: the operation id tells. */
-	private async settle(next: VersionedConfiguration): Promise<VersionedConfiguration> {
+	/** Reads back whether the write took effect: another one may have won, or the reply was lost. */
+	private async confirmWrite(next: VersionedConfiguration): Promise<VersionedConfiguration> {
 		const entry = await this.read();
 		const current = entry ? (JSON.parse(entry.value) as VersionedConfiguration) : undefined;
 		if (current?.operation === next.operation) {
 			return next;
 		}
 		if (current && current.version >= next.version) {
-			throw conflict(current);
+			throw conflictError(current);
 		}
 		throw new errors.UserError(errors.data.PlatformUnavailable);
 	}
@@ -82,7 +85,7 @@
 			try {
 				return await this.opts.kv.get(configurationKey);
 			} catch (err) {
-				if (!(err instanceof KvError) || attempt >= readBackTries) {
+				if (!(err instanceof KvError) || attempt >= maxReadAttempts) {
 					throw new errors.UserError(errors.data.PlatformUnavailable);
 				}
 				await this.opts.sleep(100 * attempt);
@@ -91,7 +94,7 @@
 	}
 }
 
-function conflict(current: VersionedConfiguration | undefined): errors.UserError {
+function conflictError(current: VersionedConfiguration | undefined): errors.UserError {
 	const version = String(current?.version ?? 0);
 	const params = [version, current?.by ?? 'nobody', current?.changed ?? 'nothing'];
 	return new errors.UserError(errors.data.ConfigurationConflict, params);
--- a/src/core/errors/errors-data.ts
+++ b/src/core/errors/errors-data.ts
@@ -1,19 +1,18 @@
 /**
- * Every error that a caller or an operator may see, declared once. Docs are generated from here.
+ * Errors shown to callers and operators. The error reference is generated from these definitions.
  * @module
  */
 
-/** One user-facing error. */
+/** Definition of a user-facing error. */
 export interface ErrorData {
-	/** Stable name, used in bodies, logs and docs. */
+	/** Stable name, used in response bodies, logs and documentation. */
 	name: string;
-	/** Short title. */
 	title: string;
-	/** What happened; may take details. */
+	/** What happened; a function when it includes details. */
 	message: string | ((...params: string[]) => string);
-	/** What to do about it. */
+	/** How to resolve it. */
 	hint?: string;
-	/** HTTP status told to callers, where the error reaches one. */
+	/** HTTP status, for errors that reach an HTTP client. */
 	status?: number;
 }
 
@@ -120,7 +119,8 @@
 export const WeightStoreBusy = {
 	name: 'WeightStoreBusy',
 	title: 'The weight store is busy',
-	message: 'The weight store is at its rate or does not answer; the order was not given.',
+	message:
+		'The weight store has reached its rate limit or does not answer; the order was not given.',
 	hint: 'Give the order again later.',
 	status: 503,
 } as const satisfies ErrorData;
@@ -221,7 +221,7 @@
 export const DrillsDisabled = {
 	name: 'DrillsDisabled',
 	title: 'Drills are not enabled',
-	message: 'This daemon takes no drills.',
+	message: 'This daemon does not accept drills.',
 	hint: 'Set `enabled = true` under `[drills]` in its settings.',
 	status: 503,
 } as const satisfies ErrorData;
--- a/src/core/errors/index.ts
+++ b/src/core/errors/index.ts
@@ -1,5 +1,5 @@
 /**
- * Error classes built from the error data.
+ * Error classes and findings.
  * @module
  */
 import type { ErrorData } from './errors-data.js';
@@ -7,10 +7,10 @@
 export type { ErrorData } from './errors-data.js';
 export * as data from './errors-data.js';
 
-/** An error that a caller or an operator is shown. */
+/** An error that is shown to a caller or an operator. */
 export class UserError extends Error {
 	readonly data: ErrorData;
-	/** Seconds after which to come back, where known. */
+	/** Time after which to retry, in seconds; undefined when unknown. */
 	readonly retryAfterS?: number;
 
 	constructor(data: ErrorData, params: string[] = [], opts: { retryAfterS?: number } = {}) {
@@ -21,12 +21,12 @@
 	}
 }
 
-/** One thing found wrong in a settings or configuration file. */
+/** A problem in a settings or configuration file. */
 export interface Finding {
 	file: string;
-	/** First line is 1. */
+	/** 1-based. */
 	line: number;
-	/** First column is 1. */
+	/** 1-based. */
 	column: number;
 	/** Path of the value, such as `classes[0].tier`. */
 	path: string;
@@ -34,7 +34,7 @@
 	hint?: string;
 }
 
-/** Findings of one file, reported together. */
+/** Reports all findings of a file. */
 export class FindingsError extends UserError {
 	readonly findings: readonly Finding[];
 
@@ -44,9 +44,9 @@
 	}
 }
 
-/** One finding on one line, as compilers print them. */
+/** Formats a finding on one line, as `file:line:column: path: message (hint)`. */
 export function formatFinding(finding: Finding): string {
-	const place = `${finding.file}:${finding.line}:${finding.column}`;
+	const position = `${finding.file}:${finding.line}:${finding.column}`;
 	const hint = finding.hint ? ` (${finding.hint})` : '';
-	return `${place}: ${finding.path}: ${finding.message}${hint}`;
+	return `${position}: ${finding.path}: ${finding.message}${hint}`;
 }
--- a/src/core/settings/index.ts
+++ b/src/core/settings/index.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of one daemon.
+ * Validates the settings of a daemon.
  * @module
  */
 import type { Settings } from './schema.js';
@@ -8,7 +8,7 @@
 
 export type { Settings } from './schema.js';
 
-/** Checks a settings file as a whole. */
+/** Validates a settings file and reports all findings. */
 export function checkSettings(
 	file: string,
 	text: string,
--- a/src/core/settings/toml-document.ts
+++ b/src/core/settings/toml-document.ts
@@ -1,28 +1,28 @@
 /**
- * Reads a TOML text, checks it against a schema and gives every finding its place.
- * The parser that knows places is loaded on first use, since it is large.
+ * Parses TOML, validates it against a schema and reports findings with line and column.
+ * The parser is loaded on first use, since it is large.
  * @module
  */
 import type * as zod from 'zod';
 import type * as errors from '../errors/index.js';
 
-/** Place of a value in a file. */
-interface Place {
+/** Position of a value in a file; the first line and column are 1. */
+interface Position {
 	line: number;
 	column: number;
 }
 
-/** Outcome of a check: the value, or what was found wrong. */
+/** The validated value, or the findings. */
 export type CheckResult<T> =
 	| { value: T; findings: [] }
 	| { value?: undefined; findings: errors.Finding[] };
 
-/** Extra checks over the whole document, after its schema held. */
+/** Checks on the whole document that run once it matches the schema. */
 export type CrossCheck<T> = (
 	value: T,
 ) => { path: (string | number)[]; message: string; hint?: string }[];
 
-/** Checks one TOML text as a whole. */
+/** Validates a TOML document and reports all findings. */
 export async function checkToml<T>(
 	file: string,
 	text: string,
@@ -36,18 +36,18 @@
 	} catch (err) {
 		return { findings: [syntaxFinding(file, err)] };
 	}
-	const places = new Map<string, Place>();
-	collectPlaces(ast.body[0], [], places);
+	const positions = new Map<string, Position>();
+	collectPositions(ast.body[0], [], positions);
 	const parsed = schema.safeParse(toml.getStaticTOMLValue(ast));
 	const issues = parsed.success
 		? crossCheck(parsed.data)
-		: parsed.error.issues.flatMap((issue) => expandIssue(issue));
+		: parsed.error.issues.flatMap((issue) => toPathIssues(issue));
 	if (parsed.success && issues.length === 0) {
 		return { value: parsed.data, findings: [] };
 	}
 	const findings = issues.map((issue) => ({
 		file,
-		...nearestPlace(places, issue.path),
+		...nearestPosition(positions, issue.path),
 		path: formatPath(issue.path),
 		message: issue.message,
 		hint: issue.hint,
@@ -56,13 +56,13 @@
 	return { findings };
 }
 
-interface PlainIssue {
+interface PathIssue {
 	path: (string | number)[];
 	message: string;
 	hint?: string;
 }
 
-function expandIssue(issue: zod.core.$ZodIssue): PlainIssue[] {
+function toPathIssues(issue: zod.core.$ZodIssue): PathIssue[] {
 	const path = issue.path as (string | number)[];
 	if (issue.code === 'unrecognized_keys') {
 		return issue.keys.map((key) => ({
@@ -75,18 +75,18 @@
 }
 
 function syntaxFinding(file: string, err: unknown): errors.Finding {
-	const place = err as { lineNumber?: number; column?: number; message?: string };
+	const parseError = err as { lineNumber?: number; column?: number; message?: string };
 	return {
 		file,
-		line: place.lineNumber ?? 1,
-		column: (place.column ?? 0) + 1,
+		line: parseError.lineNumber ?? 1,
+		column: (parseError.column ?? 0) + 1,
 		path: '(syntax)',
-		message: place.message ?? 'not valid TOML',
+		message: parseError.message ?? 'not valid TOML',
 		hint: 'see toml.io for the format',
 	};
 }
 
-/** The parts of the parser's tree that this module walks. */
+/** The properties of the parser's AST nodes that this module uses. */
 interface Node {
 	type: string;
 	loc: { start: { line: number; column: number } };
@@ -97,45 +97,52 @@
 	value?: Node;
 }
 
-function collectPlaces(raw: unknown, path: (string | number)[], places: Map<string, Place>): void {
+function collectPositions(
+	raw: unknown,
+	path: (string | number)[],
+	positions: Map<string, Position>,
+): void {
 	const node = raw as Node;
-	const own = node.type === 'TOMLTable' ? (node.resolvedKey ?? path) : path;
-	const remember = (at: (string | number)[], where: Node) => {
-		const key = formatPath(at);
-		if (!places.has(key)) {
-			places.set(key, { line: where.loc.start.line, column: where.loc.start.column + 1 });
+	const basePath = node.type === 'TOMLTable' ? (node.resolvedKey ?? path) : path;
+	const recordPosition = (nodePath: (string | number)[], positioned: Node) => {
+		const key = formatPath(nodePath);
+		if (!positions.has(key)) {
+			positions.set(key, {
+				line: positioned.loc.start.line,
+				column: positioned.loc.start.column + 1,
+			});
 		}
 	};
 	if (node.type === 'TOMLTable') {
-		remember(own, node);
+		recordPosition(basePath, node);
 	}
 	for (const child of node.body ?? []) {
 		if (child.type === 'TOMLKeyValue') {
 			const keys = (child.key?.keys ?? []).map((key) => key.name ?? String(key.value));
-			const at = [...own, ...keys];
-			remember(at, child);
-			collectPlaces(child.value, at, places);
+			const valuePath = [...basePath, ...keys];
+			recordPosition(valuePath, child);
+			collectPositions(child.value, valuePath, positions);
 		} else {
-			collectPlaces(child, own, places);
+			collectPositions(child, basePath, positions);
 		}
 	}
 	for (const [index, child] of (node.elements ?? []).entries()) {
-		remember([...own, index], child);
-		collectPlaces(child, [...own, index], places);
+		recordPosition([...basePath, index], child);
+		collectPositions(child, [...basePath, index], positions);
 	}
 }
 
-function nearestPlace(places: Map<string, Place>, path: (string | number)[]): Place {
+function nearestPosition(positions: Map<string, Position>, path: (string | number)[]): Position {
 	for (let length = path.length; length > 0; length--) {
-		const place = places.get(formatPath(path.slice(0, length)));
-		if (place) {
-			return place;
+		const position = positions.get(formatPath(path.slice(0, length)));
+		if (position) {
+			return position;
 		}
 	}
 	return { line: 1, column: 1 };
 }
 
-/** `['classes', 0, 'tier']` as `classes[0].tier`. */
+/** Formats a path such as `['classes', 0, 'tier']` as `classes[0].tier`. */
 export function formatPath(path: readonly (string | number)[]): string {
 	let text = '';
 	for (const part of path) {
--- a/src/platform/configuration.ts
+++ b/src/platform/configuration.ts
@@ -1,5 +1,5 @@
 /**
- * Decodes the operators' configuration as the platform's store holds it.
+ * Decodes the operators' configuration from the platform's store.
  * @module
  */
 import './zod-setup.js';
@@ -7,20 +7,20 @@
 import type { Route, RoutingConfiguration, ScalingLimits, Service } from '../core/routing/types.js';
 import { repeatabilities } from '../core/routing/types.js';
 
-/** Most urgent number that a route without a priority gets; the middle of 0 to 9. */
+/** Tier of a route without a priority; the scale is 0 to 9. */
 const defaultTier = 5;
-/** Time-out of a route that names none, in milliseconds; longer than any known class needs. */
+/** Applies to routes without a `timeout-ms`. */
 const defaultTimeoutMs = 60_000;
 
 const routeSchema = zod.object({
 	name: zod.string(),
 	hostname: zod.string(),
 	'path-prefix': zod.string(),
-	/** `streaming`, `idempotent` or `non_idempotent`; what is not known runs at most once. */
+	/** `streaming`, `idempotent` or `non_idempotent`; requests of any other type run at most once. */
 	type: zod._default(zod.string(), 'non_idempotent'),
 	'timeout-ms': zod._default(zod.number(), defaultTimeoutMs),
 	'target-latency-ms': zod._default(zod.number(), 1000),
-	/** "ITL": the longest pause between events. */
+	/** Inter-token latency: the longest pause between two events. */
 	'target-itl-ms': zod.optional(zod.number()),
 	priority: zod._default(zod.number(), defaultTier),
 	service: zod.optional(zod.string()),
@@ -29,7 +29,7 @@
 	),
 	'max-attempts': zod._default(zod.number(), 1),
 	anonymous: zod._default(zod.boolean(), false),
-	/** Set on routes whose requests carry the parts of their prompt. */
+	/** Set on routes whose requests list their prompt segments. */
 	'session-affinity': zod._default(zod.boolean(), false),
 	'stream-resume': zod._default(zod.boolean(), false),
 });
@@ -40,14 +40,14 @@
 	'max-connections': zod._default(zod.number(), 100),
 	/** Present for model engines. */
 	backend: zod.optional(zod.object({ slots: zod.number(), 'kv-capacity': zod.number() })),
-	/** Present where engines may be ordered; the limits count for each zone. */
+	/** Present where the router scales the engines; the limits apply per zone. */
 	autoscale: zod.optional(
 		zod.object({
 			'min-replicas': zod._default(zod.number(), 0),
 			'max-replicas': zod.number(),
 			'boot-time-s': zod._default(zod.number(), 0),
 			'spot-price': zod._default(zod.number(), 1),
-			/** Price of an engine's second. */
+			/** Price of one engine for one second, by zone. */
 			'zone-prices': zod.record(zod.string(), zod.number()),
 		}),
 	),
@@ -79,7 +79,7 @@
 });
 
 /**
- * @throws Error when the text is no configuration; the message names every finding
+ * @throws Error when the text is not a valid configuration; the message lists every finding
  */
 export function decodeConfiguration(text: string): RoutingConfiguration {
 	const parsed = schema.safeParse(JSON.parse(text));
@@ -109,21 +109,21 @@
 }
 
 function toRoute(raw: zod.infer<typeof routeSchema>): Route {
-	const resumable = raw.type === 'streaming' && raw['stream-resume'];
-	const mayRepeat = raw.type === 'idempotent' || resumable;
-	const single = raw.service === undefined ? [] : [{ service: raw.service, weight: 1 }];
+	const isResumable = raw.type === 'streaming' && raw['stream-resume'];
+	const isRepeatable = raw.type === 'idempotent' || isResumable;
+	const singleService = raw.service === undefined ? [] : [{ service: raw.service, weight: 1 }];
 	return {
 		name: raw.name,
 		host: raw.hostname.toLowerCase(),
 		pathPrefix: raw['path-prefix'],
-		repeatability: mayRepeat ? repeatabilities.idempotent : repeatabilities.once,
+		repeatability: isRepeatable ? repeatabilities.idempotent : repeatabilities.once,
 		isStreamed: raw.type === 'streaming',
-		isResumable: resumable,
+		isResumable,
 		timeoutMs: raw['timeout-ms'],
 		targetMs: raw['target-latency-ms'],
 		targetPauseMs: raw['target-itl-ms'],
 		tier: raw.priority,
-		services: raw['traffic-split'] ?? single,
+		services: raw['traffic-split'] ?? singleService,
 		maxEngines: Math.max(1, raw['max-attempts']),
 		allowsAnonymous: raw.anonymous,
 		hasPromptSegments: raw['session-affinity'],
@@ -137,11 +137,13 @@
 		healthPath: raw['health-path'],
 		maxConnections: raw['max-connections'],
 		model: backend && { slots: backend.slots, kvCapacityTokens: backend['kv-capacity'] },
-		scaling: raw.autoscale && toSupply(raw.autoscale),
+		scaling: raw.autoscale && toScalingLimits(raw.autoscale),
 	};
 }
 
-function toSupply(raw: NonNullable<zod.infer<typeof serviceSchema>['autoscale']>): ScalingLimits {
+function toScalingLimits(
+	raw: NonNullable<zod.infer<typeof serviceSchema>['autoscale']>,
+): ScalingLimits {
 	return {
 		minEngines: raw['min-replicas'],
 		maxEngines: raw['max-replicas'],
--- a/src/platform/duty-api.ts
+++ b/src/platform/duty-api.ts
@@ -1,5 +1,5 @@
 /**
- * Client of the platform's API for what one VM at a time does for the whole fleet.
+ * HTTP client of the platform's API for fleet-wide duties, which one VM holds at a time.
  * @module
  */
 import * as undici from 'undici';
@@ -9,15 +9,14 @@
 import type { HostPort } from '../core/relay/settings.js';
 import { headerNames } from './wire-names.js';
 
-/** The API answers in milliseconds, in a quarter of a second when it is slow. */
 const callTimeoutMs = 1500;
-/** A connection comes up in a few milliseconds; a lost packet is sent again after a second. */
+/** Shorter than the first TCP retransmission, so a lost packet fails the call early. */
 const connectTimeoutMs = 400;
-/** One call at a time is the rule; a second connection serves while one hangs. */
+/** Calls run one at a time; the second connection is for use while the first hangs. */
 const connections = 2;
 
-/** What the answers mean; any other status promises nothing. */
-const answerOf: Readonly<Record<number, DutyAnswer>> = {
+/** After any other status the outcome of the call is unknown. */
+const answersByStatus: Readonly<Record<number, DutyAnswer>> = {
 	200: dutyAnswers.done,
 	409: dutyAnswers.refused,
 	429: dutyAnswers.busy,
@@ -71,7 +70,7 @@
 				body: JSON.stringify(body),
 			});
 			await res.body.dump();
-			const answer = answerOf[res.statusCode];
+			const answer = answersByStatus[res.statusCode];
 			if (answer === undefined) {
 				this.onUnanswered(path, `status ${res.statusCode}`);
 			}
--- a/src/platform/engine-registrations.ts
+++ b/src/platform/engine-registrations.ts
@@ -1,5 +1,5 @@
 /**
- * Decodes the registrations of engines in the platform's store.
+ * Decodes engine registrations from the platform's store.
  * @module
  */
 import './zod-setup.js';
@@ -7,7 +7,7 @@
 import type { EngineRegistration } from '../core/engines/types.js';
 import { storeKeys } from './wire-names.js';
 
-/** Everything that an engine writes; an entry that lacks any of it, or has it in another form, is not an engine's. */
+/** An entry that lacks a required field, or has a field of another type, is rejected. */
 const schema = zod.object({
 	service: zod.string().check(zod.minLength(1)),
 	address: zod.string().check(zod.regex(/^\d+\.\d+\.\d+\.\d+:\d+$/, 'expected IP:PORT')),
@@ -16,21 +16,21 @@
 	slots: zod.int().check(zod.positive()),
 	state: zod.enum(['ready', 'draining']),
 	'warmup-left-ms': zod.number().check(zod.gte(0)),
-	/** Rises with each heartbeat. */
+	/** Increases with each heartbeat. */
 	sequence: zod.int(),
-	/** Unix milliseconds of this start; the id may be that of an earlier one. */
+	/** Start of this process in Unix milliseconds; a restarted engine may reuse its id. */
 	born: zod.optional(zod.int()),
-	/** It costs less and may be taken away at short notice. */
+	/** Whether the engine runs on preemptible capacity. */
 	spot: zod._default(zod.boolean(), false),
 });
 
-/** Id of the engine that a key of the store belongs to. */
+/** Engine id in a store key. */
 export function engineIdOf(key: string): string {
 	return key.slice(storeKeys.engines.length);
 }
 
 /**
- * @throws Error when the value is no engine's registration
+ * @throws Error when the value is not a valid engine registration
  */
 export function decodeEngineRegistration(key: string, text: string): EngineRegistration {
 	const raw = schema.parse(JSON.parse(text));
--- a/src/platform/http-messages.ts
+++ b/src/platform/http-messages.ts
@@ -1,5 +1,5 @@
 /**
- * Translates heads of requests and answers between the wire and the relay's own types.
+ * Converts the heads of requests and answers between HTTP headers and the relay's types.
  * @module
  */
 import type {
@@ -11,7 +11,7 @@
 } from '../core/relay/definitions.js';
 import { headerNames, routerOnlyHeaders } from './wire-names.js';
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1). */
+/** Hop-by-hop headers (RFC 9110, section 7.6.1). */
 const connectionHeaders: ReadonlySet<string> = new Set([
 	'connection',
 	'keep-alive',
@@ -25,26 +25,25 @@
 	'expect',
 ]);
 
-/** Answers that no caller has estimated are taken to use this share of what they may; an assumption. */
-const usualShare = 0.6;
+/** Expected share of the token limit that an answer uses when its caller sends no length hint. */
+const expectedAnswerShare = 0.6;
 
-/** A damaged answer may name any number; more than an engine can take is no limit, and goes into messages as a whole number. */
-const mostLimitPerS = 1e6;
+/** Bounds the limit from a malformed answer; gossip messages encode it as an integer. */
+const maxLimitPerS = 1e6;
 
-/** What callers send under these names does not go to engines as it came. */
-const ownRequestHeaders: ReadonlySet<string> = new Set([
+/** Headers of callers that are dropped or replaced before a request goes to an engine. */
+const strippedRequestHeaders: ReadonlySet<string> = new Set([
 	...connectionHeaders,
 	...routerOnlyHeaders,
 	'authorization',
 	'content-length',
 ]);
 
-const noNames: ReadonlySet<string> = new Set();
+const emptyNames: ReadonlySet<string> = new Set();
 
-/** A head, read once. */
-interface Head {
+interface ParsedHead {
 	raw: RawHeaders;
-	/** Names in lower case, in the order of the head. */
+	/** Lower-case names, in the order of the head. */
 	names: string[];
 	/** First value of each header, by lower-case name. */
 	values: Map<string, string>;
@@ -59,34 +58,34 @@
 
 /** @returns the request, or undefined when its head lacks an id or a host */
 export function decodeRequest(head: RequestHead, body: Buffer): CallerRequest | undefined {
-	const read = readHead(head.rawHeaders);
-	const map = read.values;
-	const id = map.get(headerNames.attemptId);
-	const host = map.get('host');
+	const parsedHead = parseHead(head.rawHeaders);
+	const values = parsedHead.values;
+	const id = values.get(headerNames.attemptId);
+	const host = values.get('host');
 	if (id === undefined || host === undefined) {
 		return undefined;
 	}
-	const [promptTokens, mostAnswerTokens] = decodeTokens(map.get(headerNames.tokenUsage));
+	const [promptTokens, maxAnswerTokens] = decodeTokens(values.get(headerNames.tokenUsage));
 	const answerTokens =
-		positiveNumber(map.get(headerNames.lengthHint)) ?? mostAnswerTokens * usualShare;
+		nonNegativeNumber(values.get(headerNames.lengthHint)) ?? maxAnswerTokens * expectedAnswerShare;
 	return {
 		method: head.method,
 		target: head.target,
 		host,
 		id,
-		deadlineMs: positiveNumber(map.get(headerNames.deadline)),
-		apiKey: bearerKey(map.get('authorization')),
-		promptSegments: decodeParts(map.get(headerNames.promptSegments)),
+		deadlineMs: nonNegativeNumber(values.get(headerNames.deadline)),
+		apiKey: bearerKey(values.get('authorization')),
+		promptSegments: decodePromptSegments(values.get(headerNames.promptSegments)),
 		promptTokens,
 		answerTokens,
-		lastEventId: map.get(headerNames.lastEventId),
-		headers: requestHeaders(read, body.length),
+		lastEventId: values.get(headerNames.lastEventId),
+		headers: requestHeaders(parsedHead, body.length),
 		body,
 		arrivedAt: head.arrivedAt,
 	};
 }
 
-/** Headers of the request as it goes to an engine. */
+/** @returns the headers of the request to an engine */
 export function encodeCall(call: EngineCall): RawHeaders {
 	const raw = [...call.req.headers];
 	raw.push(headerNames.attemptId, call.req.id);
@@ -106,54 +105,54 @@
 }
 
 export function decodeAnswer(status: number, rawHeaders: RawHeaders): AnswerHead {
-	const read = readHead(rawHeaders);
-	const map = read.values;
-	const encoding = map.get('content-encoding');
-	const signed = map.has(headerNames.signature);
+	const parsedHead = parseHead(rawHeaders);
+	const values = parsedHead.values;
+	const encoding = values.get('content-encoding');
+	const isSigned = values.has(headerNames.signature);
 	return {
 		status,
-		id: map.get(headerNames.attemptId),
-		isSigned: signed,
-		hasNotRun: status === 421 || map.has(headerNames.notExecuted),
+		id: values.get(headerNames.attemptId),
+		isSigned,
+		hasNotRun: status === 421 || values.has(headerNames.notExecuted),
 		isFromOtherEngine: status === 421,
-		isFramed: map.has('content-length') || map.has('transfer-encoding'),
+		isFramed: values.has('content-length') || values.has('transfer-encoding'),
 		isEncoded: encoding !== undefined && encoding !== 'identity',
 		notice: {
-			isDraining: map.get(headerNames.draining) === '1',
-			backOffS: status === 503 ? positiveNumber(map.get(headerNames.retryAfter)) : undefined,
-			limitPerS: decodeLimit(map.get(headerNames.rateLimit)),
+			isDraining: values.get(headerNames.draining) === '1',
+			backOffS: status === 503 ? nonNegativeNumber(values.get(headerNames.retryAfter)) : undefined,
+			limitPerS: decodeLimit(values.get(headerNames.rateLimit)),
 		},
-		headers: keepEndToEnd(read, connectionHeaders),
+		headers: filterHeaders(parsedHead, connectionHeaders),
 	};
 }
 
-function requestHeaders(read: Head, bodyBytes: number): RawHeaders {
-	const kept = keepEndToEnd(read, ownRequestHeaders);
-	if (bodyBytes > 0 || read.values.has('content-length')) {
+function requestHeaders(parsedHead: ParsedHead, bodyBytes: number): RawHeaders {
+	const kept = filterHeaders(parsedHead, strippedRequestHeaders);
+	if (bodyBytes > 0 || parsedHead.values.has('content-length')) {
 		kept.push('content-length', String(bodyBytes));
 	}
 	return kept;
 }
 
-/** Drops headers of these names, and those that `Connection` names. */
-function keepEndToEnd(read: Head, dropped: ReadonlySet<string>): RawHeaders {
-	const { raw, names, values } = read;
-	const named = values.has('connection') ? connectionTokens(read) : noNames;
+/** Drops the given headers and those listed in `Connection`. */
+function filterHeaders(parsedHead: ParsedHead, dropped: ReadonlySet<string>): RawHeaders {
+	const { raw, names, values } = parsedHead;
+	const connectionNames = values.has('connection') ? parseConnectionHeader(parsedHead) : emptyNames;
 	const kept: RawHeaders = [];
-	for (let at = 0; at < names.length; at++) {
-		const name = names[at] as string;
-		if (!dropped.has(name) && !named.has(name)) {
-			kept.push(raw[2 * at] as string, raw[2 * at + 1] as string);
+	for (let index = 0; index < names.length; index++) {
+		const name = names[index] as string;
+		if (!dropped.has(name) && !connectionNames.has(name)) {
+			kept.push(raw[2 * index] as string, raw[2 * index + 1] as string);
 		}
 	}
 	return kept;
 }
 
-function connectionTokens({ raw, names }: Head): ReadonlySet<string> {
+function parseConnectionHeader({ raw, names }: ParsedHead): ReadonlySet<string> {
 	const tokens = new Set<string>();
-	for (let at = 0; at < names.length; at++) {
-		if (names[at] === 'connection') {
-			for (const token of (raw[2 * at + 1] as string).split(',')) {
+	for (let index = 0; index < names.length; index++) {
+		if (names[index] === 'connection') {
+			for (const token of (raw[2 * index + 1] as string).split(',')) {
 				tokens.add(token.trim().toLowerCase());
 			}
 		}
@@ -161,14 +160,14 @@
 	return tokens;
 }
 
-function readHead(raw: RawHeaders): Head {
+function parseHead(raw: RawHeaders): ParsedHead {
 	const names: string[] = [];
 	const values = new Map<string, string>();
-	for (let at = 0; at + 1 < raw.length; at += 2) {
-		const name = (raw[at] as string).toLowerCase();
+	for (let index = 0; index + 1 < raw.length; index += 2) {
+		const name = (raw[index] as string).toLowerCase();
 		names.push(name);
 		if (!values.has(name)) {
-			values.set(name, raw[at + 1] as string);
+			values.set(name, raw[index + 1] as string);
 		}
 	}
 	return { raw, names, values };
@@ -178,29 +177,29 @@
 	return authorization === undefined ? undefined : /^Bearer\s+(\S+)$/i.exec(authorization)?.[1];
 }
 
-function positiveNumber(text: string | undefined): number | undefined {
+function nonNegativeNumber(text: string | undefined): number | undefined {
 	const value = Number(text);
 	const isNumber = text !== undefined && text.trim() !== '' && Number.isFinite(value);
 	return isNumber && value >= 0 ? value : undefined;
 }
 
 function decodeLimit(text: string | undefined): number | undefined {
-	const perS = positiveNumber(text);
-	return perS === undefined ? undefined : Math.min(perS, mostLimitPerS);
+	const limitPerS = nonNegativeNumber(text);
+	return limitPerS === undefined ? undefined : Math.min(limitPerS, maxLimitPerS);
 }
 
-/** "PROMPT,MOST": tokens of the prompt, then the most that may be generated. */
+/** Decodes "PROMPT,MAX": the tokens of the prompt and the maximum number of tokens to generate. */
 function decodeTokens(text: string | undefined): [number, number] {
 	const [prompt, answer] = (text ?? '').split(',');
-	return [positiveNumber(prompt) ?? 0, positiveNumber(answer) ?? 0];
+	return [nonNegativeNumber(prompt) ?? 0, nonNegativeNumber(answer) ?? 0];
 }
 
-function decodeParts(text: string | undefined): PromptSegment[] {
+function decodePromptSegments(text: string | undefined): PromptSegment[] {
 	if (text === undefined || text === '') {
 		return [];
 	}
-	return text.split(',').map((part) => {
-		const [id, tokens] = part.trim().split(':');
-		return { id: id ?? '', tokens: positiveNumber(tokens) ?? 0 };
+	return text.split(',').map((segment) => {
+		const [id, tokens] = segment.trim().split(':');
+		return { id: id ?? '', tokens: nonNegativeNumber(tokens) ?? 0 };
 	});
 }
--- a/src/platform/index.ts
+++ b/src/platform/index.ts
@@ -1,5 +1,5 @@
 /**
- * Adapter of the platform: its names, formats and calls. Decides nothing.
+ * Adapter for the platform: wire names, data formats and clients of its store and API.
  * @module
  */
 export { decodeConfiguration } from './configuration.js';
--- a/src/platform/settings.ts
+++ b/src/platform/settings.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the settings file that the platform lays on each VM.
+ * Parses the settings file that the platform provides on each VM.
  * @module
  */
 import './zod-setup.js';
@@ -7,75 +7,75 @@
 import type { Finding } from '../core/errors/index.js';
 import type { DutySettings, HostPort, RelaySettings } from '../core/relay/settings.js';
 
-const hostPort = zod.pipe(
+const hostPortSchema = zod.pipe(
 	zod.string().check(zod.regex(/^\d+\.\d+\.\d+\.\d+:\d+$/, 'expected IP:PORT')),
 	zod.transform(parseHostPort),
 );
-const text = zod.string().check(zod.minLength(1));
-const atLeastZero = zod.number().check(zod.gte(0));
+const nonEmptyText = zod.string().check(zod.minLength(1));
+const nonNegative = zod.number().check(zod.gte(0));
 const positive = zod.number().check(zod.positive());
 
-/** Time in milliseconds, or in seconds by the field's name. */
-function time(otherwise: number) {
-	return zod._default(atLeastZero, otherwise);
+/** Duration with a default, in the unit that the field's name ends with. */
+function duration(defaultValue: number) {
+	return zod._default(nonNegative, defaultValue);
 }
 
-/** Fields that are not named here are passed over. */
+/** Unknown fields are ignored. */
 const schema = zod.object({
-	'node-name': text,
+	'node-name': nonEmptyText,
 	ip: zod.ipv4(),
-	/** "Zone": the failure domain. */
-	zone: text,
+	/** Failure domain. */
+	zone: nonEmptyText,
 	listen: zod.object({
-		/** For callers. */
-		frontend: hostPort,
-		readiness: hostPort,
-		/** For the other VMs, where the role serves it. */
-		'control-plane': zod.optional(hostPort),
+		/** Address for callers. */
+		frontend: hostPortSchema,
+		readiness: hostPortSchema,
+		/** Control endpoint for other VMs; absent where the VM serves none. */
+		'control-plane': zod.optional(hostPortSchema),
 	}),
-	/** Free for traffic between VMs, both ends included; alike on all VMs. */
+	/** First and last port for traffic between VMs, both inclusive; the same on all VMs. */
 	'port-range': zod.tuple([zod.int(), zod.int()]),
-	'seed-nodes': zod._default(zod.array(hostPort), []),
+	'seed-nodes': zod._default(zod.array(hostPortSchema), []),
 	limits: zod.object({
 		'memory-mb': zod.number(),
 		'max-fds': zod.int(),
-		/** Share of one core. */
+		/** CPU quota as a fraction of one core. */
 		'cpu-quota': zod._default(positive, 1),
-		/** How many times as fast as a usual one that core runs. */
+		/** Speed of that core relative to a typical core. */
 		'cpu-cores': zod._default(positive, 1),
 	}),
-	/** Time between two signs of life of an engine. */
-	'heartbeat-ms': time(1200),
+	/** Interval between heartbeats of an engine. */
+	'heartbeat-ms': duration(1200),
 	bounds: zod.object({
-		'contact-ms': time(3000),
-		'drain-ms': time(2000),
-		/** From SIGTERM to SIGKILL. */
-		'grace-s': time(8),
-		'config-apply-ms': time(2000),
+		'contact-ms': duration(3000),
+		'drain-ms': duration(2000),
+		/** Time from SIGTERM to SIGKILL. */
+		'grace-s': duration(8),
+		'config-apply-ms': duration(2000),
 		'retry-ratio': zod._default(zod.number(), 0.2),
-		'retry-window-s': time(10),
-		/** Retries of the whole fleet in a window beyond the ratio. */
+		'retry-window-s': duration(10),
+		/** Retries per window that the fleet may send in addition to the ratio. */
 		'retry-extra': zod._default(zod.number(), 20),
-		/** Whether the platform refuses tokens lower than one that it has seen. */
+		/** Whether the platform refuses fencing tokens lower than the highest it has seen. */
 		'fencing-required': zod._default(zod.boolean(), true),
-		'lease-ms': time(3000),
-		'report-window-s': zod._default(atLeastZero.check(zod.positive()), 5),
-		/** A window's counts are due so long after its end. */
-		'usage-delay-s': time(10),
+		'lease-ms': duration(3000),
+		'report-window-s': zod._default(nonNegative.check(zod.positive()), 5),
+		/** Time after the end of a window when its usage report is due. */
+		'usage-delay-s': duration(10),
 	}),
-	/** Absent where nothing is done for the whole fleet. */
+	/** Absent where the fleet has no fleet-wide duties. */
 	'cloud-api': zod.optional(
 		zod.object({
-			address: hostPort,
-			/** What one VM at a time does: `metering`, `autoscaling`. Others are passed over. */
+			address: hostPortSchema,
+			/** Fleet-wide duties: `metering`, `autoscaling`. Unknown duties are ignored. */
 			duties: zod._default(zod.array(zod.string()), []),
-			/** Calls of all VMs together. */
+			/** Rate limit of calls, fleet-wide. */
 			'duty-per-s': zod._default(positive, 10),
 		}),
 	),
 	platform: zod.object({
-		address: hostPort,
-		'ttl-min-ms': time(1000),
+		address: hostPortSchema,
+		'ttl-min-ms': duration(1000),
 	}),
 });
 
@@ -83,18 +83,18 @@
 	| { settings: RelaySettings; findings: [] }
 	| { settings?: undefined; findings: Finding[] };
 
-/** Checks the whole text and returns the settings, or all findings with their place. */
+/** @returns the settings, or all findings with the path of each */
 export function parseSettings(file: string, text: string): SettingsResult {
 	let json: unknown;
 	try {
 		json = JSON.parse(text);
 	} catch (err) {
-		return { findings: [finding(file, '', (err as Error).message)] };
+		return { findings: [createFinding(file, '', (err as Error).message)] };
 	}
 	const parsed = schema.safeParse(json);
 	if (!parsed.success) {
 		const findings = parsed.error.issues.map((issue) =>
-			finding(file, issue.path.join('.'), issue.message),
+			createFinding(file, issue.path.join('.'), issue.message),
 		);
 		return { findings };
 	}
@@ -147,11 +147,11 @@
 }
 
 function parseHostPort(text: string): HostPort {
-	const at = text.lastIndexOf(':');
-	return { host: text.slice(0, at), port: Number(text.slice(at + 1)) };
+	const separator = text.lastIndexOf(':');
+	return { host: text.slice(0, separator), port: Number(text.slice(separator + 1)) };
 }
 
-/** The file is JSON on one or more lines; a finding is placed by its path, not by its line. */
-function finding(file: string, path: string, message: string): Finding {
+/** Findings are located by path: the JSON parser reports no lines. */
+function createFinding(file: string, path: string, message: string): Finding {
 	return { file, line: 1, column: 1, path, message };
 }
--- a/src/platform/store-client.ts
+++ b/src/platform/store-client.ts
@@ -1,5 +1,5 @@
 /**
- * Client of the platform's store.
+ * HTTP client of the platform's key-value store.
  * @module
  */
 import * as undici from 'undici';
@@ -19,22 +19,22 @@
 import { decodeEra, toEvent, toItem } from './store-wire.js';
 import { headerNames } from './wire-names.js';
 
-/** An ordinary call; the store answers in 4 ms when well, up to 300 ms when slow. */
+/** Timeout of calls other than watches. */
 const callTimeoutMs = 1000;
-/** Beyond the wait of a watch until its connection is given up. */
+/** Time that a watch may take beyond the wait it asks for. */
 const watchSlackMs = 1000;
-/** A connection to a store that is there comes up in a few milliseconds; a lost packet is sent again after a second. */
+/** Shorter than the first TCP retransmission, so a lost packet fails the call early. */
 const connectTimeoutMs = 300;
-/** Watches hold a connection each, other calls share the rest. */
+/** Each watch holds one connection; other calls share the rest. */
 const connections = 6;
 
-/** Revision that a key must have which must not be there. */
-const absent = 0;
+/** Expected revision of a key that must not exist. */
+const absentRevision = 0;
 
 interface Reply {
 	status: number;
 	body: unknown;
-	/** The store's era when it answered. */
+	/** Era of the store at the time of the answer. */
 	era: number;
 }
 
@@ -51,11 +51,11 @@
 
 export class PlatformStore implements Store {
 	private readonly pool: undici.Pool;
-	private made = 0;
-	private answered = Number.NEGATIVE_INFINITY;
+	private callCount = 0;
+	private answeredAt = Number.NEGATIVE_INFINITY;
 	private lastEra?: number;
 
-	/** @param onRestored told before the caller of the first answer of a new era goes on */
+	/** @param onRestored called on the first answer of a new era, before that answer is returned */
 	constructor(
 		address: HostPort,
 		private readonly clock: Clock,
@@ -71,11 +71,11 @@
 	}
 
 	get calls(): number {
-		return this.made;
+		return this.callCount;
 	}
 
 	get lastAnsweredAt(): number {
-		return this.answered;
+		return this.answeredAt;
 	}
 
 	get era(): number {
@@ -88,10 +88,13 @@
 		let after = '';
 		for (;;) {
 			const { body: page, era } = await this.readPage(prefix, after, mayBeStale);
-			// The pages are no snapshot: a watch from the first page's revision misses nothing.
+			// Pages are not read as one snapshot: a watch from the first page's revision covers changes in between.
 			revision ??= revisionIn(era, page.timestamp);
 			if (era !== eraOf(revision)) {
-				throw new StoreError(storeFailures.unknown, 'the store was restored between two pages');
+				throw new StoreError(
+					storeFailures.unknown,
+					'the store was restored from a backup during a paged read',
+				);
 			}
 			items.push(...page.entries.map((entry) => toItem(entry, era)));
 			const last = page.entries.at(-1);
@@ -122,7 +125,7 @@
 			throw new StoreError(storeFailures.compacted, `no history since revision ${revision}`);
 		}
 		const { body, era } = expectOk<WireChanges>(reply);
-		// The revision may have been given out again meanwhile: the store answers, with changes of another history.
+		// After a restore the store may reuse the revision and answer with changes of another history.
 		this.expectEra(revision, era);
 		const events = body.events.map((event) => toEvent(event, era));
 		return { events, revision: revisionIn(era, body.timestamp) };
@@ -139,9 +142,9 @@
 	}
 
 	async transact({ expected, write }: Transaction): Promise<number | undefined> {
-		const isOfThisEra = ({ revision }: { revision: number }) =>
-			revision === absent || eraOf(revision) === this.era;
-		if (!expected.every(isOfThisEra)) {
+		const isFromCurrentEra = ({ revision }: { revision: number }) =>
+			revision === absentRevision || eraOf(revision) === this.era;
+		if (!expected.every(isFromCurrentEra)) {
 			return undefined;
 		}
 		const body = {
@@ -163,8 +166,8 @@
 		if (reply.status === 412) {
 			return undefined;
 		}
-		const { body: done, era } = expectOk<{ revision: number }>(reply);
-		return revisionIn(era, done.revision);
+		const { body: committed, era } = expectOk<{ revision: number }>(reply);
+		return revisionIn(era, committed.revision);
 	}
 
 	async put(key: string, value: string, lease: number): Promise<void> {
@@ -193,7 +196,7 @@
 		return this.pool.destroy();
 	}
 
-	/** @param after key behind which the page starts; empty for the first page */
+	/** @param after last key of the previous page; empty for the first page */
 	private async readPage(
 		prefix: string,
 		after: string,
@@ -204,39 +207,39 @@
 			query.set('stale-ok', '1');
 		}
 		if (after !== '') {
-			// Named like a revision, it takes the key to go on behind.
+			// In range reads this parameter takes the last key of the previous page.
 			query.set('since-revision', after);
 		}
 		return expectOk<WireRange>(await this.call('GET', `/kv-range?${query}`));
 	}
 
-	/** @throws StoreError when a watch from the revision is of an earlier era than the store's */
+	/** @throws StoreError when the revision is not from the given era */
 	private expectEra(revision: number, era: number): void {
 		if (eraOf(revision) !== era) {
 			throw new StoreError(
 				storeFailures.compacted,
-				`revision of era ${eraOf(revision)}, now ${era}`,
+				`the revision is from era ${eraOf(revision)}, the store is in era ${era}`,
 			);
 		}
 	}
 
 	/**
-	 * Answers on different connections may overtake one another: the era only rises.
-	 * @param told undefined when the answer does not say
-	 * @returns the era of the answer
+	 * Updates the newest known era. It only increases, since answers on different connections may arrive out of order.
+	 * @param answerEra undefined when the answer carries no era
+	 * @returns the era of the answer, or the newest known one
 	 */
-	private noteEra(told: number | undefined): number {
-		const eraBefore = this.lastEra;
-		if (told === undefined) {
+	private updateEra(answerEra: number | undefined): number {
+		const previousEra = this.lastEra;
+		if (answerEra === undefined) {
 			return this.era;
 		}
-		if (eraBefore === undefined || told > eraBefore) {
-			this.lastEra = told;
+		if (previousEra === undefined || answerEra > previousEra) {
+			this.lastEra = answerEra;
 		}
-		if (eraBefore !== undefined && told > eraBefore) {
-			this.onRestored({ previousEra: eraBefore, era: told });
+		if (previousEra !== undefined && answerEra > previousEra) {
+			this.onRestored({ previousEra, era: answerEra });
 		}
-		return told;
+		return answerEra;
 	}
 
 	private async call(
@@ -244,7 +247,7 @@
 		path: string,
 		opts: CallOptions = {},
 	): Promise<Reply> {
-		this.made++;
+		this.callCount++;
 		const timeout = AbortSignal.timeout(opts.timeoutMs ?? callTimeoutMs);
 		const signal = opts.signal ? AbortSignal.any([timeout, opts.signal]) : timeout;
 		try {
@@ -255,10 +258,10 @@
 				headers: opts.body && { 'content-type': 'application/json' },
 				body: opts.body && JSON.stringify(opts.body),
 			});
-			const era = this.noteEra(decodeEra(res.headers[headerNames.storeEra]));
+			const era = this.updateEra(decodeEra(res.headers[headerNames.storeEra]));
 			const text = await res.body.text();
 			if (res.statusCode < 429) {
-				this.answered = this.clock.sinceBoot();
+				this.answeredAt = this.clock.sinceBoot();
 			}
 			return { status: res.statusCode, body: text === '' ? {} : JSON.parse(text), era };
 		} catch (err) {
@@ -267,10 +270,10 @@
 	}
 }
 
-/** @throws StoreError when the store did nothing */
+/** @throws StoreError when the store refused the call */
 function expectOk<T>(reply: Reply): OkReply<T> {
 	if (reply.status !== 200) {
-		throw new StoreError(storeFailures.refused, `the store answered ${reply.status}`);
+		throw new StoreError(storeFailures.refused, `the store answered with status ${reply.status}`);
 	}
 	return { body: reply.body as T, era: reply.era };
 }
--- a/src/platform/store-wire.ts
+++ b/src/platform/store-wire.ts
@@ -1,6 +1,5 @@
 /**
- * Items, pages and changes as the platform's store writes them, and what they are decoded to. Bodies are JSON, values base64 of
- * their text.
+ * Wire types of the platform's store and their decoding. Bodies are JSON; values are base64 of UTF-8 text.
  * @module
  */
 import type { StoreEvent, StoreItem } from '../core/store/definitions.js';
@@ -9,7 +8,7 @@
 const utf8 = new TextDecoder('utf-8', { fatal: true });
 
 export interface WireItem {
-	/** "Private key": just the key. */
+	/** The key; "private" has no meaning here. */
 	'private-key': string;
 	value: string;
 	revision: number;
@@ -21,17 +20,17 @@
 export interface WireRange {
 	entries: WireItem[];
 	'has-more': boolean;
-	/** "Timestamp": revision of the whole store at the read, no time. */
+	/** Revision of the whole store at the read, not a time. */
 	timestamp: number;
 }
 
 export interface WireChanges {
 	events: WireEvent[];
-	/** Revision from which the next watch goes on. */
+	/** Revision from which the next watch continues. */
 	timestamp: number;
 }
 
-/** Undefined where the answer tells none, or something else. */
+/** @returns undefined when the header is missing or is not a valid era */
 export function decodeEra(raw: string | string[] | undefined): number | undefined {
 	const era = typeof raw === 'string' && raw !== '' ? Number(raw) : Number.NaN;
 	return Number.isInteger(era) && era >= 0 ? era : undefined;
@@ -46,12 +45,12 @@
 	};
 }
 
-/** Text of a value; empty when another writer left something that is no base64 of a text. */
+/** @returns the text of a value, empty when it is not base64 of UTF-8 */
 function decodeValue(raw: unknown): string {
 	try {
 		return utf8.decode(Buffer.from(String(raw), 'base64'));
 	} catch {
-		// Whoever decodes the empty text says what is wrong and where.
+		// The decoder of the empty text reports the error with its key.
 		return '';
 	}
 }
--- a/src/platform/wire-names.ts
+++ b/src/platform/wire-names.ts
@@ -1,48 +1,48 @@
 /**
- * Names that the platform uses on the wire. Nothing outside this folder knows them.
+ * Header names and store keys that the platform defines.
  * @module
  */
 
 /** Headers of requests and answers, in lower case. */
 export const headerNames = {
 	attemptId: 'slategauge-attempt-id',
-	/** Milliseconds that the sender still waits. */
+	/** Remaining time that the sender waits, in milliseconds. */
 	deadline: 'slategauge-deadline-ms',
-	/** Id of the engine that alone may run the request. */
+	/** Id of the only engine that may run the request. */
 	expectInstance: 'slategauge-expect-instance',
 	/** Name of the customer. */
 	customer: 'slategauge-tenant',
 	model: 'slategauge-model',
-	/** "Token usage": tokens of the prompt, then the most that may be generated. */
+	/** Tokens of the prompt and the maximum number to generate, as PROMPT,MAX. */
 	tokenUsage: 'slategauge-token-usage',
-	/** "Prefix hash": all parts of the prompt in order, as ID:TOKENS. */
+	/** All prompt segments in order, as a list of ID:TOKENS. */
 	promptSegments: 'slategauge-prefix-hash',
-	/** Caller's guess of the tokens out. */
+	/** Caller's estimate of the generated tokens. */
 	lengthHint: 'slategauge-length-hint',
 	/** Urgency at the engine, 0 to 9. */
 	priority: 'slategauge-request-priority',
 	/** Present on an answer of an engine that did not run the request. */
 	notExecuted: 'slategauge-not-executed',
-	/** Engine's proof that the answer is its own. */
+	/** Signature with which the engine authenticates the answer. */
 	signature: 'slategauge-response-signature',
-	/** Present in all answers of an engine that leaves. */
+	/** Present in all answers of an engine that drains. */
 	draining: 'server-leaving',
-	/** Requests a second that an engine takes from all VMs together, in all its answers for as long as it needs that. */
+	/** Requests per second that an engine accepts from all VMs together; present while the limit applies. */
 	rateLimit: 'server-limit',
-	/** Seconds; of an engine: it wants nothing from this VM for so long. */
+	/** Back-off in seconds; from an engine it applies to all requests of this VM. */
 	retryAfter: 'retry-after',
-	/** In answers of the store: rises by one each time it came back from an older copy. */
+	/** In answers of the store: increases by one with each restore from a backup. */
 	storeEra: 'store-era',
 	lastEventId: 'last-event-id',
-	/** Address of another engine, from which the engine copies what that one keeps of the prompt. */
+	/** Address of the engine to copy the cached prefix from. */
 	copyFrom: 'kv-fetch',
-	/** Name of the VM that acts for the whole fleet. */
+	/** Name of the VM that holds the fleet-wide duties. */
 	dutyHolder: 'slategauge-duty-holder',
-	/** Rises with each VM that acts for the fleet. */
+	/** Fencing token; increases with each new duty holder. */
 	dutyToken: 'slategauge-fencing-token',
 } as const;
 
-/** Request headers that only the router sets; what a caller sends under these names is dropped. */
+/** Request headers that only the router sets; those of callers are dropped. */
 export const routerOnlyHeaders: ReadonlySet<string> = new Set([
 	headerNames.attemptId,
 	headerNames.deadline,
@@ -62,14 +62,14 @@
 export const storeKeys = {
 	/** The newest configuration. */
 	configuration: 'op/config',
-	/** Registrations of engines, one a start. */
+	/** Prefix of engine registrations, one per engine process. */
 	engines: 'servers/',
-	/** Registrations of the router's own VMs, written by this project. */
+	/** Prefix of registrations of the router's VMs; written by the router. */
 	vms: 'vms/',
-	/** The VM that acts for the whole fleet; written by this project. */
+	/** The VM that holds the fleet-wide duties; written by the router. */
 	dutyHolder: 'duties/holder',
-	/** Reports of usage as they were sent, or were about to be; written by this project. */
+	/** Usage reports that were sent or are about to be sent; written by the router. */
 	usageReports: 'duties/usage',
-	/** Contents that crashed engines; written by this project. */
+	/** Prefix of quarantined contents, which crashed engines; written by the router. */
 	quarantine: 'quarantine/',
 } as const;
--- a/src/platform/zod-setup.ts
+++ b/src/platform/zod-setup.ts
@@ -1,6 +1,5 @@
 /**
- * Sets up the small form of the library that checks the platform's texts; the usual form is a fifth of a start's work. Schemas are
- * not compiled to code at run time: a start has few texts to check.
+ * Configures zod/mini, which loads faster than zod. Schemas are not JIT-compiled: too few texts are parsed at start-up to pay for it.
  * @module
  */
 
--- a/test/features/operators.feature
+++ b/test/features/operators.feature
@@ -1,6 +1,6 @@
 Feature: The query and command language
 
-	Scenario: Questions over the whole fleet
+	Scenario: A query covers the whole fleet
 		Given a fleet of 3 daemons and 2 engines
 		When the operator runs "show vms where queued = 0 sort by vm desc limit 1"
 		Then it exits with 0
@@ -12,7 +12,7 @@
 		Then it exits with 0
 		And it prints "[]"
 
-	Scenario: Errors point at the column and suggest the nearest word
+	Scenario: A syntax error reports its column and suggests the nearest keyword
 		Given a fleet of 1 daemon and 1 engine
 		When the operator runs "show reqests"
 		Then it exits with 64
@@ -29,7 +29,7 @@
 		Then it exits with 64
 		And it prints "tier"
 
-	Scenario: Commands change the configuration, with a dry run
+	Scenario: A command changes the configuration, and a dry run does not
 		Given a fleet of 3 daemons and 2 engines
 		When the operator runs "drain engine-1 --dry-run"
 		Then it exits with 0
@@ -39,7 +39,7 @@
 		And it prints "in force on 3 VMs"
 		And every daemon has version 2 in force
 
-	Scenario: The time line tells a request's story
+	Scenario: The timeline shows the events of a request
 		Given a fleet of 2 daemons and 1 engine
 		When the openai client of listener-app asks "story len=5" as a stream
 		And the operator runs "timeline --class chat"
@@ -48,13 +48,13 @@
 		And it prints "event=request.started"
 		And it prints "outcome=complete"
 
-	Scenario: A wrong token is told
+	Scenario: A request with an unknown operator token is rejected
 		Given a fleet of 1 daemon and 1 engine
 		When the operator with a wrong token runs "status"
 		Then it exits with 1
 		And it prints "the operator token is unknown"
 
-	Scenario: A trace is replayed, judged and reported, and the time line drawn
+	Scenario: A trace is replayed and evaluated, and its report and timeline are rendered
 		Given a fleet of 2 daemons and 2 engines
 		When the operator replays the first 12 requests of the morning
 		Then it exits with 0
@@ -66,7 +66,7 @@
 		Then it exits with 0
 		And the page has a lane for "vm-2"
 
-	Scenario: A trace that cannot be read is told line by line
+	Scenario: An invalid trace is reported with the line of each finding
 		Given a fleet of 1 daemon and 1 engine
 		When the operator replays a trace with the line "{}"
 		Then it exits with 78
--- a/test/features/settings.feature
+++ b/test/features/settings.feature
@@ -1,6 +1,6 @@
-Feature: Settings are checked as a whole
+Feature: Settings and configuration files are validated
 
-	Scenario: Every finding is reported with its place, exit code 78
+	Scenario: Every finding is reported with its line and column, and the exit code is 78
 		Given a settings file
 			"""
 			[vm]
@@ -17,11 +17,11 @@
 		When slategauged checks it
 		Then it exits with 78
 		And it prints "2:1: vm.id: expected lower-case letters, digits and hyphens"
-		And it prints "4:1: vm.address: expected an IP number, such as 10.0.0.7"
+		And it prints "4:1: vm.address: expected an IP address, such as 10.0.0.7"
 		And it prints "9:1: peers.token: expected at least 16 characters"
 		And it prints "10:1: peers.tick: unknown key"
 
-	Scenario: A syntax error is a finding
+	Scenario: A syntax error is reported as a finding
 		Given a settings file
 			"""
 			[vm
@@ -30,7 +30,7 @@
 		Then it exits with 78
 		And it prints ":1:"
 
-	Scenario: A configuration whose parts do not fit is refused
+	Scenario: A configuration with invalid references is rejected
 		Given a settings file
 			"""
 			[operators]
@@ -53,7 +53,7 @@
 		And it prints "11:1: customers[0].default_class: no class is named chatt"
 		And it prints "12:1: endpoints[0].models: an engine needs a model"
 
-	Scenario: The examples are in order
+	Scenario: The documented examples are valid
 		When slategauged checks the file "docs/examples/settings.toml"
 		Then it exits with 0
 		When slategauge checks the configuration "docs/examples/lakeshore.toml"
--- a/test/steps/operators.steps.ts
+++ b/test/steps/operators.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of operators: changes of the configuration, races, drains.
+ * Steps for configuration changes by operators: conflicts, drains and limits.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -26,20 +26,20 @@
 				base: 1,
 				by,
 			});
-		const both = [change(0, 'ann', 31_000), change(1, 'bob', 32_000)];
-		this.seen.set('changes', await Promise.allSettled(both));
+		const pending = [change(0, 'ann', 31_000), change(1, 'bob', 32_000)];
+		this.seen.set('changes', await Promise.allSettled(pending));
 	},
 );
 
 cucumber.Then(
-	'one change is accepted and the other operator hears who won and what changed',
+	'one change is accepted and the other is rejected with the author and changes of the accepted version',
 	function (this: FleetWorld) {
 		const changes = this.seen.get('changes') as PromiseSettledResult<{ by: string }>[];
-		const won = changes.find((change) => change.status === 'fulfilled');
-		const lost = changes.find((change) => change.status === 'rejected');
-		assert.ok(won && lost, 'one wins and one loses');
-		const message = String((lost.reason as Error).message);
-		assert.match(message, new RegExp(`Version 2 by ${won.value.by} was accepted first`));
+		const accepted = changes.find((change) => change.status === 'fulfilled');
+		const rejected = changes.find((change) => change.status === 'rejected');
+		assert.ok(accepted && rejected, 'expected one accepted and one rejected change');
+		const message = String((rejected.reason as Error).message);
+		assert.match(message, new RegExp(`Version 2 by ${accepted.value.by} was accepted first`));
 		assert.match(message, /classes\.chat\.deadline_ms/);
 	},
 );
@@ -81,7 +81,7 @@
 );
 
 cucumber.When(
-	'an operator bounds engine {int} to {int} slots',
+	'an operator limits engine {int} to {int} slots',
 	async function (this: FleetWorld, engine: number, slots: number) {
 		const { cfg } = this;
 		assert.ok(cfg);
@@ -95,8 +95,8 @@
 
 cucumber.Then(
 	'engine {int} never ran more than {int} requests at once',
-	async function (this: FleetWorld, engine: number, most: number) {
+	async function (this: FleetWorld, engine: number, maxRequests: number) {
 		const stats = await this.running.stats<EngineStats>(this.running.engines[engine - 1]);
-		assert.ok(stats.peakBatch <= most, String(stats.peakBatch));
+		assert.ok(stats.peakBatch <= maxRequests, String(stats.peakBatch));
 	},
 );
