--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -25,9 +25,9 @@
 
 const targets: Record<RequestKind, string> = {
 	[requestKinds.plain]: '/plain/',
-	[requestKinds.once]: '/once/',
-	[requestKinds.cut]: '/stream/once/',
-	[requestKinds.resumed]: '/stream/resumed/',
+	[requestKinds.singleRun]: '/once/',
+	[requestKinds.nonResumable]: '/stream/once/',
+	[requestKinds.resumable]: '/stream/resumed/',
 };
 
 export class Callers {
@@ -63,13 +63,13 @@
 			id,
 			kind,
 			vm: item.name,
-			life: item.life,
+			incarnation: item.incarnation,
 			key,
 			sentAt: performance.now(),
 			endedAt: 0,
 			status: 0,
 			body: '',
-			cut: true,
+			truncated: true,
 		};
 		const { address, ports } = item.vm;
 		const req = http.request({
@@ -100,7 +100,7 @@
 			let keeps = true;
 			while (keeps && !this.stopped) {
 				const record = await this.send(item, this.pickKind(), this.pickKey(), agent);
-				keeps = record.status !== 0 && !record.cut && this.rng() > changeShare;
+				keeps = record.status !== 0 && !record.truncated && this.rng() > changeShare;
 				await sleep(this.rng() * pauseMs);
 			}
 			agent.destroy();
@@ -121,7 +121,7 @@
 	}
 
 	private pickKey(): string {
-		const { currentKey, formerKey } = this.deployment;
+		const { currentKey, previousKey: formerKey } = this.deployment;
 		const draw = this.rng();
 		if (draw < currentKeyShare) {
 			return currentKey;
@@ -151,7 +151,7 @@
 				record.body += chunk.toString();
 			});
 			res.on('end', () => {
-				record.cut = !res.complete;
+				record.truncated = !res.complete;
 				done();
 			});
 			res.on('error', () => done());
--- a/test/soak/deployment.ts
+++ b/test/soak/deployment.ts
@@ -9,7 +9,13 @@
 import type { Ports, Vm } from '../steps/relay-world.js';
 import { freePorts, key, RelayFixture, until } from '../steps/relay-world.js';
 import { LoopbackProxy } from './loopback-proxy.js';
-import type { Disturbance, EngineLeft, KeyChange, LimitNamed, SoakBounds } from './types.js';
+import type {
+	AnnouncedLimit,
+	EngineDeparture,
+	InjectedFault,
+	KeyChange,
+	SoakBounds,
+} from './types.js';
 
 /** The bounds that the daemons read from their settings; the settings of the fixture leave them at defaults. */
 export const bounds: SoakBounds = {
@@ -34,38 +40,38 @@
 	name: string;
 	vm: Vm;
 	/** Counts the starts of its process. */
-	life: number;
-	store: LoopbackProxy;
+	incarnation: number;
+	storeProxy: LoopbackProxy;
 	/** A fault holds it now. */
-	busy: boolean;
+	hasFault: boolean;
 }
 
 export interface SoakEngine {
 	standIn: PlatformEngineStandIn;
 	proxy: LoopbackProxy;
 	address: string;
-	busy: boolean;
+	hasFault: boolean;
 	/** It leaves or has left. */
-	leaving: boolean;
+	isLeaving: boolean;
 	/** Unix milliseconds of its last start, once it began again. */
-	born?: number;
+	startedAt?: number;
 	/** What its registration says; undefined once that is gone. */
-	state?: 'ready' | 'draining';
+	registeredState?: 'ready' | 'draining';
 }
 
 export class SoakDeployment {
 	readonly fixture = new RelayFixture();
 	readonly vms: SoakVm[] = [];
 	readonly engines: SoakEngine[] = [];
-	readonly disturbances: Disturbance[] = [];
-	readonly keys: KeyChange[] = [];
-	readonly left: EngineLeft[] = [];
-	readonly limits: LimitNamed[] = [];
+	readonly injectedFaults: InjectedFault[] = [];
+	readonly keyChanges: KeyChange[] = [];
+	readonly departures: EngineDeparture[] = [];
+	readonly announcedLimits: AnnouncedLimit[] = [];
 	/** Processes that ended without having been told to. */
-	readonly ended: string[] = [];
+	readonly unexpectedExits: string[] = [];
 	/** The key of the newest configuration beside the permanent one, and the one before. */
 	currentKey = '';
-	formerKey = '';
+	previousKey = '';
 	private nextEngine = 1;
 	private nextKey = 1;
 	private stopping = false;
@@ -80,7 +86,7 @@
 		for (let at = 0; at < engines; at++) {
 			await this.addEngine();
 		}
-		this.changeKey();
+		this.rotateKey();
 		const [callers = 0, readiness = 0, peers = 0, metrics = 0] = await freePorts(4);
 		const ports: Ports = { callers, readiness, peers, metrics };
 		for (let at = 0; at < vms; at++) {
@@ -104,7 +110,7 @@
 	}
 
 	/** Notes a harm; the returned function ends it. */
-	disturb(target: string, what: string, planned = false): () => void {
+	recordFault(target: string, what: string, planned = false): () => void {
 		const item = {
 			target,
 			what,
@@ -112,21 +118,26 @@
 			until: Number.POSITIVE_INFINITY,
 			planned,
 		};
-		this.disturbances.push(item);
+		this.injectedFaults.push(item);
 		return () => {
 			item.until = performance.now();
 		};
 	}
 
 	/** An engine names a limit from now on, or none. */
-	nameLimit({ standIn }: SoakEngine, perS: number | undefined): void {
+	announceLimit({ standIn }: SoakEngine, perS: number | undefined): void {
 		const now = performance.now();
-		const before = this.limits.findLast(({ engine }) => engine === standIn.id);
+		const before = this.announcedLimits.findLast(({ engine }) => engine === standIn.id);
 		if (before) {
 			before.until = Math.min(before.until, now);
 		}
 		if (perS !== undefined) {
-			this.limits.push({ engine: standIn.id, perS, from: now, until: Number.POSITIVE_INFINITY });
+			this.announcedLimits.push({
+				engine: standIn.id,
+				limitPerS: perS,
+				from: now,
+				until: Number.POSITIVE_INFINITY,
+			});
 		}
 		standIn.limitPerS = perS;
 	}
@@ -136,34 +147,34 @@
 		const [host = '', port = ''] = (await standIn.start()).split(':');
 		const proxy = new LoopbackProxy({ host, port: Number(port) });
 		const address = await proxy.start();
-		const engine: SoakEngine = { standIn, proxy, address, busy: false, leaving: false };
+		const engine: SoakEngine = { standIn, proxy, address, hasFault: false, isLeaving: false };
 		this.engines.push(engine);
 		this.fixture.engines.set(standIn.id, standIn);
-		await this.write(engine, 'ready');
+		await this.writeRegistration(engine, 'ready');
 		return engine;
 	}
 
 	/** An engine starts again under its id and its address: what it said before no longer counts. */
-	async beginAgain(engine: SoakEngine): Promise<void> {
-		this.nameLimit(engine, undefined);
+	async restartEngine(engine: SoakEngine): Promise<void> {
+		this.announceLimit(engine, undefined);
 		engine.standIn.server.closeAllConnections();
-		engine.born = Date.now();
-		await this.write(engine, 'ready');
+		engine.startedAt = Date.now();
+		await this.writeRegistration(engine, 'ready');
 	}
 
 	/** @param announced it says that it leaves; else its registration goes without a word */
 	async removeEngine(engine: SoakEngine, announced: boolean): Promise<void> {
-		engine.leaving = true;
+		engine.isLeaving = true;
 		const { id } = engine.standIn;
 		if (announced) {
-			await this.write(engine, 'draining');
+			await this.writeRegistration(engine, 'draining');
 		} else {
 			this.unregister(engine);
 		}
-		this.left.push({ engine: id, at: performance.now() });
+		this.departures.push({ engine: id, at: performance.now() });
 		await sleep(lingerMs);
 		this.unregister(engine);
-		const end = this.disturb(id, 'gone');
+		const end = this.recordFault(id, 'gone');
 		engine.proxy.stop();
 		engine.standIn.stop();
 		end();
@@ -174,7 +185,7 @@
 		const { store } = this.fixture;
 		const copy = store.copy();
 		await sleep(agoMs);
-		const end = this.disturb('store', 'restored');
+		const end = this.recordFault('store', 'restored');
 		store.failWith = 503;
 		await sleep(absentMs);
 		store.failWith = undefined;
@@ -182,8 +193,8 @@
 		this.fixture.writeConfiguration();
 		await sleep(writeAgainMs);
 		for (const engine of this.engines) {
-			if (engine.state) {
-				await this.write(engine, engine.state);
+			if (engine.registeredState) {
+				await this.writeRegistration(engine, engine.registeredState);
 			} else {
 				this.unregister(engine);
 			}
@@ -191,45 +202,45 @@
 		end();
 	}
 
-	private async write(engine: SoakEngine, state: 'ready' | 'draining'): Promise<void> {
-		engine.state = state;
-		await this.fixture.register(engine.standIn, engine.address, state, engine.born);
+	private async writeRegistration(engine: SoakEngine, state: 'ready' | 'draining'): Promise<void> {
+		engine.registeredState = state;
+		await this.fixture.register(engine.standIn, engine.address, state, engine.startedAt);
 	}
 
 	private unregister(engine: SoakEngine): void {
-		engine.state = undefined;
+		engine.registeredState = undefined;
 		this.fixture.store.remove(`servers/${engine.standIn.id}`);
 	}
 
 	/** Puts a new key in force beside the permanent one and takes the one before away. */
-	changeKey(): void {
+	rotateKey(): void {
 		const next = `key-${this.nextKey++}`;
 		const version = this.fixture.configure([key, next]);
 		const at = performance.now();
-		this.keys.push({ key: next, version, at, kind: 'added' });
+		this.keyChanges.push({ key: next, version, at, kind: 'added' });
 		if (this.currentKey !== '') {
-			this.keys.push({ key: this.currentKey, version, at, kind: 'removed' });
+			this.keyChanges.push({ key: this.currentKey, version, at, kind: 'removed' });
 		}
-		this.formerKey = this.currentKey;
+		this.previousKey = this.currentKey;
 		this.currentKey = next;
 	}
 
 	/** Starts the VM's process anew, once the one before has ended. */
-	async restart(item: SoakVm): Promise<void> {
+	async restartVm(item: SoakVm): Promise<void> {
 		await item.vm.ended;
 		item.vm = await this.startProcess(item.name, item.vm.address, item.vm.ports);
-		item.life++;
+		item.incarnation++;
 		this.watchEnd(item);
 	}
 
 	async stop(): Promise<void> {
 		this.stopping = true;
-		for (const { vm, store } of this.vms) {
+		for (const { vm, storeProxy: store } of this.vms) {
 			vm.process.kill('SIGKILL');
 			await vm.ended;
 			store.stop();
 		}
-		for (const { proxy, leaving } of this.engines) {
+		for (const { proxy, isLeaving: leaving } of this.engines) {
 			if (!leaving) {
 				proxy.stop();
 			}
@@ -261,9 +272,9 @@
 		const { vm } = item;
 		void vm.ended.then((code) => {
 			// A fault that ends processes marks the VM as busy before, and leaves no code or 0.
-			const isByItself = !item.busy || (code !== null && code !== 0);
+			const isByItself = !item.hasFault || (code !== null && code !== 0);
 			if (isByItself && !this.stopping) {
-				this.ended.push(`${item.name} ended with ${code}: ${vm.errors}`);
+				this.unexpectedExits.push(`${item.name} ended with ${code}: ${vm.errors}`);
 			}
 		});
 	}
@@ -278,7 +289,9 @@
 ]);
 
 /** Behaviours of engines that do harm. */
-export const harmful = Object.values(engineBehaviours).filter((name) => !notHarmful.has(name));
+export const faultyBehaviours = Object.values(engineBehaviours).filter(
+	(name) => !notHarmful.has(name),
+);
 
 export function sleep(ms: number): Promise<void> {
 	return new Promise((done) => setTimeout(done, ms));
--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -6,7 +6,7 @@
 import type { Rng } from '../../bench/random.js';
 import { engineBehaviours } from '../stand-ins/platform-engine.js';
 import type { SoakDeployment, SoakEngine, SoakVm } from './deployment.js';
-import { harmful, sleep } from './deployment.js';
+import { faultyBehaviours, sleep } from './deployment.js';
 import type { LinkState } from './loopback-proxy.js';
 import { linkStates } from './loopback-proxy.js';
 
@@ -25,9 +25,9 @@
 const shedding = [engineBehaviours.rejects, engineBehaviours.bare503];
 const sheddingOrWell = [...shedding, engineBehaviours.well];
 
-type Fault = (run: FaultRun) => Promise<void>;
+type Fault = (run: FaultInjector) => Promise<void>;
 
-export class FaultRun {
+export class FaultInjector {
 	/** @param known draws among the first so many faults; all unless given */
 	constructor(
 		readonly deployment: SoakDeployment,
@@ -37,34 +37,41 @@
 
 	/** Runs faults in several series until the time is over; resolves when all are put right. */
 	async run(series: number, untilMs: number): Promise<void> {
-		await Promise.all(Array.from({ length: series }, () => this.oneSeries(untilMs)));
+		await Promise.all(Array.from({ length: series }, () => this.injectUntil(untilMs)));
 	}
 
 	/** Length of a fault, in milliseconds. */
-	duration(): number {
+	randomDurationMs(): number {
 		return shortestMs + this.rng() ** 2 * (longestMs - shortestMs);
 	}
 
-	pick<T>(items: readonly T[]): T {
+	pickRandom<T>(items: readonly T[]): T {
 		return items[Math.floor(this.rng() * items.length)] as T;
 	}
 
 	/** Harms one VM that is whole, if enough others are. */
-	async withVm(what: string, planned: boolean, harm: (vm: SoakVm) => Promise<void>): Promise<void> {
-		const whole = this.deployment.vms.filter((vm) => !vm.busy);
+	async injectVmFault(
+		what: string,
+		planned: boolean,
+		harm: (vm: SoakVm) => Promise<void>,
+	): Promise<void> {
+		const whole = this.deployment.vms.filter((vm) => !vm.hasFault);
 		if (whole.length > spared) {
-			await this.hold(this.pick(whole), (vm) => vm.name, what, planned, harm);
+			await this.inject(this.pickRandom(whole), (vm) => vm.name, what, planned, harm);
 		}
 	}
 
-	async withEngine(what: string, harm: (engine: SoakEngine) => Promise<void>): Promise<void> {
-		const whole = this.deployment.engines.filter((engine) => !engine.busy && !engine.leaving);
+	async injectEngineFault(
+		what: string,
+		harm: (engine: SoakEngine) => Promise<void>,
+	): Promise<void> {
+		const whole = this.deployment.engines.filter((engine) => !engine.hasFault && !engine.isLeaving);
 		if (whole.length > spared) {
-			await this.hold(this.pick(whole), (engine) => engine.standIn.id, what, false, harm);
+			await this.inject(this.pickRandom(whole), (engine) => engine.standIn.id, what, false, harm);
 		}
 	}
 
-	private async hold<T extends { busy: boolean }>(
+	private async inject<T extends { busy: boolean }>(
 		target: T,
 		name: (target: T) => string,
 		what: string,
@@ -72,218 +79,218 @@
 		harm: (target: T) => Promise<void>,
 	): Promise<void> {
 		target.busy = true;
-		const end = this.deployment.disturb(name(target), what, planned);
+		const end = this.deployment.recordFault(name(target), what, planned);
 		await harm(target);
 		end();
 		target.busy = false;
 	}
 
-	private async oneSeries(untilMs: number): Promise<void> {
+	private async injectUntil(untilMs: number): Promise<void> {
 		while (performance.now() < untilMs) {
-			await this.pick(faults.slice(0, this.known))(this);
+			await this.pickRandom(faults.slice(0, this.known))(this);
 			await sleep(this.rng() * 400);
 		}
 	}
 }
 
 const kill: Fault = (run) =>
-	run.withVm('killed', false, async (item) => {
+	run.injectVmFault('killed', false, async (item) => {
 		item.vm.process.kill('SIGKILL');
 		await sleep(run.rng() * 1000);
-		await run.deployment.restart(item);
+		await run.deployment.restartVm(item);
 		await ready(run, item);
 	});
 
 const pause: Fault = (run) =>
-	run.withVm('paused', false, async (item) => {
+	run.injectVmFault('paused', false, async (item) => {
 		item.vm.process.kill('SIGSTOP');
-		await sleep(run.duration());
+		await sleep(run.randomDurationMs());
 		item.vm.process.kill('SIGCONT');
 	});
 
 const term: Fault = (run) =>
-	run.withVm('stopped', true, async (item) => {
+	run.injectVmFault('stopped', true, async (item) => {
 		item.vm.process.kill('SIGTERM');
-		await run.deployment.restart(item);
+		await run.deployment.restartVm(item);
 		await ready(run, item);
 	});
 
 const reload: Fault = (run) =>
-	run.withVm('reloaded', true, async (item) => {
+	run.injectVmFault('reloaded', true, async (item) => {
 		item.vm.process.kill('SIGHUP');
 		await sleep(100);
 	});
 
 /** The store is not reached by one VM. */
 const storeLink: Fault = (run) => {
-	const state = run.pick<LinkState>(Object.values(linkStates));
-	return run.withVm(`store ${state}`, false, async (item) => {
-		item.store.set(state);
+	const state = run.pickRandom<LinkState>(Object.values(linkStates));
+	return run.injectVmFault(`store ${state}`, false, async (item) => {
+		item.storeProxy.setState(state);
 		if (run.rng() < 0.3) {
-			item.store.reset();
+			item.storeProxy.resetConnections();
 		}
-		await sleep(run.duration());
-		item.store.set(linkStates.well);
+		await sleep(run.randomDurationMs());
+		item.storeProxy.setState(linkStates.healthy);
 	});
 };
 
 const storeSlow: Fault = (run) =>
-	run.withVm('store slow', false, async (item) => {
-		item.store.delay(20 + run.rng() * 600);
-		await sleep(run.duration());
-		item.store.delay(0);
+	run.injectVmFault('store slow', false, async (item) => {
+		item.storeProxy.setDelay(20 + run.rng() * 600);
+		await sleep(run.randomDurationMs());
+		item.storeProxy.setDelay(0);
 	});
 
 const turnedAway: Fault = (run) =>
-	run.withVm('turned away', false, async (item) => {
+	run.injectVmFault('turned away', false, async (item) => {
 		const { store } = run.deployment.fixture;
 		store.turnAway(item.vm.address);
-		await sleep(run.duration());
+		await sleep(run.randomDurationMs());
 		store.takeBack(item.vm.address);
 	});
 
 const storeDown: Fault = async (run) => {
 	const { deployment } = run;
-	const end = deployment.disturb('store', 'down');
-	deployment.fixture.store.failWith = run.pick([503, 429]);
-	await sleep(run.duration() / 2);
+	const end = deployment.recordFault('store', 'down');
+	deployment.fixture.store.failWith = run.pickRandom([503, 429]);
+	await sleep(run.randomDurationMs() / 2);
 	deployment.fixture.store.failWith = undefined;
 	end();
 };
 
 const storeCompacted: Fault = async (run) => {
-	const end = run.deployment.disturb('store', 'compacted');
+	const end = run.deployment.recordFault('store', 'compacted');
 	run.deployment.fixture.store.compact();
 	end();
 };
 
 const storeLosesAnswers: Fault = async (run) => {
 	const { deployment } = run;
-	const end = deployment.disturb('store', 'answers lost');
+	const end = deployment.recordFault('store', 'answers lost');
 	deployment.fixture.store.loseAnswers = true;
-	await sleep(run.duration() / 2);
+	await sleep(run.randomDurationMs() / 2);
 	deployment.fixture.store.loseAnswers = false;
 	end();
 };
 
 const engineMisbehaves: Fault = (run) => {
-	const behaviour = run.pick(harmful);
-	return run.withEngine(behaviour, async ({ standIn }) => {
+	const behaviour = run.pickRandom(faultyBehaviours);
+	return run.injectEngineFault(behaviour, async ({ standIn }) => {
 		standIn.behaviour = behaviour;
-		await sleep(run.duration());
+		await sleep(run.randomDurationMs());
 		standIn.behaviour = 'well';
 	});
 };
 
 const engineLink: Fault = (run) => {
-	const state = run.pick<LinkState>(Object.values(linkStates));
-	return run.withEngine(`link ${state}`, async ({ proxy }) => {
-		proxy.set(state);
+	const state = run.pickRandom<LinkState>(Object.values(linkStates));
+	return run.injectEngineFault(`link ${state}`, async ({ proxy }) => {
+		proxy.setState(state);
 		if (run.rng() < 0.5) {
-			proxy.reset();
+			proxy.resetConnections();
 		}
-		await sleep(run.duration());
-		proxy.set(linkStates.well);
+		await sleep(run.randomDurationMs());
+		proxy.setState(linkStates.healthy);
 	});
 };
 
 const engineSlow: Fault = (run) =>
-	run.withEngine('link slow', async ({ proxy }) => {
-		proxy.delay(run.rng() * 400);
-		await sleep(run.duration());
-		proxy.delay(0);
+	run.injectEngineFault('link slow', async ({ proxy }) => {
+		proxy.setDelay(run.rng() * 400);
+		await sleep(run.randomDurationMs());
+		proxy.setDelay(0);
 	});
 
 /** An engine leaves while another takes its place. */
 const engineLeaves: Fault = async (run) => {
 	const { deployment } = run;
-	const whole = deployment.engines.filter((engine) => !engine.busy && !engine.leaving);
+	const whole = deployment.engines.filter((engine) => !engine.hasFault && !engine.isLeaving);
 	if (whole.length > spared) {
 		await deployment.addEngine();
-		await deployment.removeEngine(run.pick(whole), run.rng() < 0.6);
+		await deployment.removeEngine(run.pickRandom(whole), run.rng() < 0.6);
 	}
 };
 
 /** An engine says only in its answers that it leaves, whatever else it does; its registration goes later. */
 const engineSaysLeaving: Fault = async (run) => {
 	const { deployment } = run;
-	const whole = deployment.engines.filter((engine) => !engine.busy && !engine.leaving);
+	const whole = deployment.engines.filter((engine) => !engine.hasFault && !engine.isLeaving);
 	if (whole.length > spared) {
 		await deployment.addEngine();
-		const engine = run.pick(whole);
-		engine.leaving = true;
+		const engine = run.pickRandom(whole);
+		engine.isLeaving = true;
 		engine.standIn.isLeaving = true;
-		await sleep(run.duration());
-		engine.standIn.behaviour = run.pick(sheddingOrWell);
-		await sleep(run.duration());
+		await sleep(run.randomDurationMs());
+		engine.standIn.behaviour = run.pickRandom(sheddingOrWell);
+		await sleep(run.randomDurationMs());
 		await deployment.removeEngine(engine, false);
 	}
 };
 
 /** An engine turns requests away and asks for rest; it may take some again before that is over. */
 const engineSheds: Fault = (run) =>
-	run.withEngine('sheds', async ({ standIn }) => {
+	run.injectEngineFault('sheds', async ({ standIn }) => {
 		standIn.restS = run.rng() * mostRestS;
-		standIn.behaviour = run.pick(shedding);
-		await sleep(run.duration());
+		standIn.behaviour = run.pickRandom(shedding);
+		await sleep(run.randomDurationMs());
 		standIn.behaviour = 'well';
 		standIn.restS = undefined;
 	});
 
 /** An engine names a limit, perhaps another one later, and may shed or say that it leaves meanwhile. */
 const engineLimits: Fault = (run) =>
-	run.withEngine('names a limit', async (engine) => {
+	run.injectEngineFault('names a limit', async (engine) => {
 		const { deployment, rng } = run;
-		deployment.nameLimit(engine, run.pick(limits));
+		deployment.announceLimit(engine, run.pickRandom(limits));
 		await sleep(shortestLimitMs + rng() * (longestLimitMs - shortestLimitMs));
 		if (rng() < 0.3) {
-			engine.standIn.behaviour = run.pick(shedding);
-			deployment.nameLimit(engine, run.pick(limits));
+			engine.standIn.behaviour = run.pickRandom(shedding);
+			deployment.announceLimit(engine, run.pickRandom(limits));
 			await sleep(shortestLimitMs);
 			engine.standIn.behaviour = engineBehaviours.well;
 		}
-		deployment.nameLimit(engine, undefined);
+		deployment.announceLimit(engine, undefined);
 	});
 
 const engineAnswersTwice: Fault = (run) =>
-	run.withEngine('answers twice', async ({ standIn }) => {
+	run.injectEngineFault('answers twice', async ({ standIn }) => {
 		standIn.behaviour = engineBehaviours.answersTwice;
-		await sleep(run.duration());
+		await sleep(run.randomDurationMs());
 		standIn.behaviour = engineBehaviours.well;
 	});
 
 /** The store comes back from older copies, once or twice in a row. */
 const storeRestored: Fault = async (run) => {
 	const { deployment } = run;
-	await deployment.restoreStore(run.duration(), run.duration() / 4);
+	await deployment.restoreStore(run.randomDurationMs(), run.randomDurationMs() / 4);
 	if (run.rng() < 0.4) {
-		await deployment.restoreStore(run.duration() / 2, run.duration() / 4);
+		await deployment.restoreStore(run.randomDurationMs() / 2, run.randomDurationMs() / 4);
 	}
 };
 
 const keyChange: Fault = async (run) => {
-	run.deployment.changeKey();
+	run.deployment.rotateKey();
 };
 
 const keyStorm: Fault = async (run) => {
 	for (let left = 5; left > 0; left--) {
-		run.deployment.changeKey();
+		run.deployment.rotateKey();
 		await sleep(run.rng() * 150);
 	}
 };
 
 /** An engine forgets idle connections, or resets new ones, or both. */
 const engineDropsConnections: Fault = (run) =>
-	run.withEngine('drops connections', async ({ standIn }) => {
+	run.injectEngineFault('drops connections', async ({ standIn }) => {
 		standIn.dropsIdle = run.rng() < 0.7;
 		standIn.resetsNew = !standIn.dropsIdle || run.rng() < 0.3;
-		await sleep(run.duration());
+		await sleep(run.randomDurationMs());
 		standIn.dropsIdle = false;
 		standIn.resetsNew = false;
 	});
 
 const engineBeginsAgain: Fault = (run) =>
-	run.withEngine('begins again', (engine) => run.deployment.beginAgain(engine));
+	run.injectEngineFault('begins again', (engine) => run.deployment.restartEngine(engine));
 
 const faults: readonly Fault[] = [
 	kill,
@@ -316,7 +323,7 @@
 ];
 
 /** Waits until a started process says that it is ready; the store may be harmed meanwhile. */
-async function ready(run: FaultRun, item: SoakVm): Promise<void> {
+async function ready(run: FaultInjector, item: SoakVm): Promise<void> {
 	const latest = performance.now() + 10_000;
 	while (!(await run.deployment.isReady(item)) && performance.now() < latest) {
 		await sleep(100);
--- a/test/soak/limit-check.ts
+++ b/test/soak/limit-check.ts
@@ -2,7 +2,7 @@
  * Checks that engines which name the requests a second that they take get no more from the VMs that they told.
  * @module
  */
-import type { CallerRecord, Disturbance, LimitNamed, SoakRecords } from './types.js';
+import type { AnnouncedLimit, CallerRecord, InjectedFault, SoakRecords } from './types.js';
 
 /** Arrivals are counted in spans of this length, in milliseconds. */
 const spanMs = 4000;
@@ -15,17 +15,17 @@
 const excuses: ReadonlySet<string> = new Set(['killed', 'paused', 'stopped']);
 
 /** @returns what is wrong, a line for each limit that was not kept */
-export function brokenLimits(records: SoakRecords): string[] {
+export function findLimitViolations(records: SoakRecords): string[] {
 	const requests = new Map(records.requests.map((req) => [req.id, req]));
-	return records.limits.flatMap((limit) => {
+	return records.announcedLimits.flatMap((limit) => {
 		const times = countedArrivals(records, requests, limit);
-		const allowed = (overShare * limit.perS * spanMs) / 1000 + overRequests;
+		const allowed = (overShare * limit.limitPerS * spanMs) / 1000 + overRequests;
 		const counts = times.map(
 			(from) => times.filter((at) => at >= from && at < from + spanMs).length,
 		);
 		const most = Math.max(0, ...counts);
 		return most > allowed
-			? [`${most} in 4 s reached ${limit.engine}, which takes ${limit.perS} a second`]
+			? [`${most} in 4 s reached ${limit.engine}, which takes ${limit.limitPerS} a second`]
 			: [];
 	});
 }
@@ -34,7 +34,7 @@
 function countedArrivals(
 	records: SoakRecords,
 	requests: ReadonlyMap<string, CallerRecord>,
-	{ engine, perS, from, until }: LimitNamed,
+	{ engine, limitPerS: perS, from, until }: AnnouncedLimit,
 ): number[] {
 	const reached = records.arrivals.filter((one) => one.engine === engine);
 	const told = reached.filter(({ notice }) => {
@@ -44,7 +44,7 @@
 	const start = firstAt + records.bounds.contactMs;
 	const lifeOf = (id: string) => {
 		const req = requests.get(id);
-		return req && `${req.vm} ${req.life}`;
+		return req && `${req.vm} ${req.incarnation}`;
 	};
 	const counted = reached.filter(({ id, at }) => {
 		const life = lifeOf(id);
@@ -57,9 +57,13 @@
 	return counted.map(({ at }) => at).sort((a, b) => a - b);
 }
 
-function isExcused({ disturbances, bounds }: SoakRecords, vm: string | undefined, at: number) {
-	const overlaps = ({ from, until }: Disturbance) => from < at && until + bounds.contactMs > at;
+function isExcused(
+	{ injectedFaults: disturbances, bounds }: SoakRecords,
+	vm: string | undefined,
+	at: number,
+) {
+	const overlaps = ({ from, until }: InjectedFault) => from < at && until + bounds.contactMs > at;
 	return disturbances.some((item) => {
-		return item.target === vm && excuses.has(item.what) && overlaps(item);
+		return item.target === vm && excuses.has(item.fault) && overlaps(item);
 	});
 }
--- a/test/soak/loopback-proxy.ts
+++ b/test/soak/loopback-proxy.ts
@@ -7,13 +7,13 @@
 
 /** What happens to bytes from now on. */
 export const linkStates = {
-	well: 'well',
+	healthy: 'well',
 	/** Bytes wait; connections stay open. */
-	silent: 'silent',
+	stalled: 'silent',
 	/** Only bytes towards the target wait. */
-	silentTo: 'silent-to',
+	stalledToTarget: 'silent-to',
 	/** Only bytes back from the target wait. */
-	silentFrom: 'silent-from',
+	stalledFromTarget: 'silent-from',
 	/** New connections are reset. */
 	refusing: 'refusing',
 } as const;
@@ -25,7 +25,7 @@
 }
 
 export class LoopbackProxy {
-	private state: LinkState = linkStates.well;
+	private state: LinkState = linkStates.healthy;
 	private delayMs = 0;
 	private readonly connections = new Set<Connection>();
 	private readonly server = net.createServer({ allowHalfOpen: true }, (near) => this.accept(near));
@@ -40,25 +40,25 @@
 
 	stop(): void {
 		this.server.close();
-		this.reset();
+		this.resetConnections();
 	}
 
 	/** Bytes in either direction come later by this time, in milliseconds. */
-	delay(ms: number): void {
+	setDelay(ms: number): void {
 		this.delayMs = ms;
 	}
 
 	/** Bytes that waited go on when the link is well again. */
-	set(state: LinkState): void {
+	setState(state: LinkState): void {
 		this.state = state;
 		for (const { near, far } of this.connections) {
-			this.apply(near, linkStates.silentTo);
-			this.apply(far, linkStates.silentFrom);
+			this.apply(near, linkStates.stalledToTarget);
+			this.apply(far, linkStates.stalledFromTarget);
 		}
 	}
 
 	/** Resets all open connections. */
-	reset(): void {
+	resetConnections(): void {
 		for (const { near, far } of this.connections) {
 			near.resetAndDestroy();
 			far.resetAndDestroy();
@@ -76,8 +76,8 @@
 		this.connections.add(connection);
 		this.join(near, far, connection);
 		this.join(far, near, connection);
-		this.apply(near, linkStates.silentTo);
-		this.apply(far, linkStates.silentFrom);
+		this.apply(near, linkStates.stalledToTarget);
+		this.apply(far, linkStates.stalledFromTarget);
 	}
 
 	private join(from: net.Socket, to: net.Socket, connection: Connection): void {
@@ -115,7 +115,7 @@
 	}
 
 	private apply(socket: net.Socket, oneWay: LinkState): void {
-		if (this.state === linkStates.silent || this.state === oneWay) {
+		if (this.state === linkStates.stalled || this.state === oneWay) {
 			socket.pause();
 		} else {
 			socket.resume();
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -7,7 +7,7 @@
 import * as path from 'node:path';
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
-import { firstFaults, regressions } from './regressions.js';
+import { initialFaultTypeCount, regressions } from './regressions.js';
 import { runSoak } from './run.js';
 
 const args = await yargs(hideBin(process.argv))
@@ -87,7 +87,7 @@
 	const { seconds } = args;
 	const regression = listed?.[taken - 1];
 	return regression
-		? { faults: firstFaults, ...regression }
+		? { faults: initialFaultTypeCount, ...regression }
 		: { seed: first + taken - 1, seconds, series: size.series };
 }
 
@@ -97,8 +97,8 @@
 		...(big ? bigSize : size),
 		seed,
 		seconds,
-		series,
-		faults: drawn,
+		concurrentFaults: series,
+		faultTypeCount: drawn,
 		out,
 	});
 	const { findings, requests, served, faults, loopDelayMs } = result;
@@ -107,7 +107,7 @@
 	process.stdout.write(
 		`seed ${seed}: ${requests} requests, ${served} served, ${faults} faults, own delay ${loopDelayMs} ms, ${verdict}\n`,
 	);
-	for (const { promise, detail } of findings.slice(0, 10)) {
+	for (const { guarantee: promise, detail } of findings.slice(0, 10)) {
 		process.stdout.write(`  ${promise}: ${detail}\n`);
 	}
 	if (findings.length > 0) {
--- a/test/soak/run.ts
+++ b/test/soak/run.ts
@@ -9,9 +9,9 @@
 import { Callers } from './callers.js';
 import type { SoakVm } from './deployment.js';
 import { bounds, SoakDeployment, sleep } from './deployment.js';
-import { FaultRun } from './faults.js';
-import { check } from './oracle.js';
-import type { EngineRecord, SoakFinding, SoakRecords } from './types.js';
+import { FaultInjector } from './faults.js';
+import { checkGuarantees } from './oracle.js';
+import type { EngineArrival, SoakFinding, SoakRecords } from './types.js';
 import { requestKinds } from './types.js';
 
 export interface SoakOptions {
@@ -22,9 +22,9 @@
 	engines: number;
 	callers: number;
 	/** Faults at the same time. */
-	series: number;
+	concurrentFaults: number;
 	/** Draws among the first so many faults. @default all */
-	faults?: number;
+	faultTypeCount?: number;
 	/** Folder for logs and records. */
 	out: string;
 }
@@ -61,8 +61,8 @@
 		await sleep(settleMs);
 		const callers = new Callers(deployment, seeded(opts.seed * 2 + 1));
 		const traffic = callers.run(opts.callers);
-		const faults = new FaultRun(deployment, seeded(opts.seed * 2), opts.faults);
-		await faults.run(opts.series, performance.now() + opts.seconds * 1000);
+		const faults = new FaultInjector(deployment, seeded(opts.seed * 2), opts.faultTypeCount);
+		await faults.run(opts.concurrentFaults, performance.now() + opts.seconds * 1000);
 		const notRecovered = await waitForAll(deployment, callers);
 		callers.stop();
 		await traffic;
@@ -70,23 +70,23 @@
 			bounds,
 			requests: callers.records,
 			arrivals: arrivalsOf(deployment),
-			disturbances: deployment.disturbances,
-			keys: deployment.keys,
-			left: deployment.left,
-			limits: deployment.limits,
+			injectedFaults: deployment.injectedFaults,
+			keyChanges: deployment.keyChanges,
+			departures: deployment.departures,
+			announcedLimits: deployment.announcedLimits,
 			notRecovered,
-			grown: grownOf(deployment, opts),
-			ended: deployment.ended,
+			resourceLeaks: grownOf(deployment, opts),
+			unexpectedExits: deployment.unexpectedExits,
 		};
-		const findings = check(records);
+		const findings = checkGuarantees(records);
 		if (findings.length > 0) {
 			fs.writeFileSync(`${opts.out}/records.json`, JSON.stringify({ opts, findings, records }));
 		}
 		return {
 			findings,
 			requests: callers.records.length,
-			served: callers.records.filter((record) => record.status === 200 && !record.cut).length,
-			faults: deployment.disturbances.length,
+			served: callers.records.filter((record) => record.status === 200 && !record.truncated).length,
+			faults: deployment.injectedFaults.length,
 			loopDelayMs: Math.round(loopDelay.percentile(99) / 1e6),
 		};
 	} finally {
@@ -96,7 +96,7 @@
 	}
 }
 
-function arrivalsOf(deployment: SoakDeployment): EngineRecord[] {
+function arrivalsOf(deployment: SoakDeployment): EngineArrival[] {
 	return deployment.engines.flatMap(({ standIn }) =>
 		standIn.seen.map((seen) => ({
 			id: String(seen.headers['slategauge-attempt-id']),
--- a/test/soak/types.ts
+++ b/test/soak/types.ts
@@ -10,7 +10,7 @@
 	kind: RequestKind;
 	vm: string;
 	/** Start of the VM's process that took it. */
-	life: number;
+	incarnation: number;
 	key: string;
 	sentAt: number;
 	endedAt: number;
@@ -18,11 +18,11 @@
 	status: number;
 	body: string;
 	/** The answer did not come to its end. */
-	cut: boolean;
+	truncated: boolean;
 }
 
 /** An arrival as the engine saw it. */
-export interface EngineRecord {
+export interface EngineArrival {
 	id: string;
 	engine: string;
 	at: number;
@@ -35,24 +35,24 @@
 
 export const requestKinds = {
 	plain: 'plain',
-	once: 'once',
+	singleRun: 'once',
 	/** A stream that may not be resumed. */
-	cut: 'cut',
-	resumed: 'resumed',
+	nonResumable: 'cut',
+	resumable: 'resumed',
 } as const;
 export type RequestKind = (typeof requestKinds)[keyof typeof requestKinds];
 
 /** Kinds that may run once at the most. */
 export const singleRunKinds: ReadonlySet<RequestKind> = new Set([
-	requestKinds.once,
-	requestKinds.cut,
+	requestKinds.singleRun,
+	requestKinds.nonResumable,
 ]);
 
 /** A span in which something was harmed. */
-export interface Disturbance {
+export interface InjectedFault {
 	/** A VM, an engine, or `store`. */
 	target: string;
-	what: string;
+	fault: string;
 	from: number;
 	/** Infinity while it lasts. */
 	until: number;
@@ -69,15 +69,15 @@
 }
 
 /** An engine was marked as leaving, or its registration was removed. */
-export interface EngineLeft {
+export interface EngineDeparture {
 	engine: string;
 	at: number;
 }
 
 /** An engine named a limit of requests a second in all its answers. */
-export interface LimitNamed {
+export interface AnnouncedLimit {
 	engine: string;
-	perS: number;
+	limitPerS: number;
 	from: number;
 	/** Infinity while it does. */
 	until: number;
@@ -98,21 +98,21 @@
 export interface SoakRecords {
 	bounds: SoakBounds;
 	requests: CallerRecord[];
-	arrivals: EngineRecord[];
-	disturbances: Disturbance[];
-	keys: KeyChange[];
-	left: EngineLeft[];
-	limits: LimitNamed[];
+	arrivals: EngineArrival[];
+	injectedFaults: InjectedFault[];
+	keyChanges: KeyChange[];
+	departures: EngineDeparture[];
+	announcedLimits: AnnouncedLimit[];
 	/** VMs that did not serve again in time after the last fault. */
 	notRecovered: string[];
 	/** VMs that held more open files at the end than bounds allow. */
-	grown: string[];
+	resourceLeaks: string[];
 	/** Processes that ended without having been told to. */
-	ended: string[];
+	unexpectedExits: string[];
 }
 
 /** One broken promise. */
 export interface SoakFinding {
-	promise: string;
+	guarantee: string;
 	detail: string;
 }
--- a/test/steps/soak.steps.ts
+++ b/test/steps/soak.steps.ts
@@ -9,10 +9,10 @@
 import * as path from 'node:path';
 import * as cucumber from '@cucumber/cucumber';
 import { LoopbackProxy } from '../soak/loopback-proxy.js';
-import { check, promises } from '../soak/oracle.js';
+import { checkGuarantees, guarantees } from '../soak/oracle.js';
 import type { SoakResult } from '../soak/run.js';
 import { runSoak } from '../soak/run.js';
-import type { CallerRecord, EngineRecord, SoakRecords } from '../soak/types.js';
+import type { CallerRecord, EngineArrival, SoakRecords } from '../soak/types.js';
 import { wholeStream } from '../stand-ins/platform-engine.js';
 import type { FleetWorld } from './world.js';
 
@@ -25,7 +25,7 @@
 	return { kind: 'plain', status: 200, body: `answer to ${part.id}`, ...common, ...part };
 }
 
-function arrival(id: string, part: Partial<EngineRecord> = {}): EngineRecord {
+function arrival(id: string, part: Partial<EngineArrival> = {}): EngineArrival {
 	return { id, engine: 'e1', at: startAt + 10, rejected: false, customer: 'station', ...part };
 }
 
@@ -44,7 +44,7 @@
 			request({ id: 'a' }),
 			request({ id: 'b', kind: 'once' }),
 			request({ id: 'c', kind: 'resumed', body: wholeStream('c') }),
-			request({ id: 'd', kind: 'cut', body: wholeStream('d').slice(0, 30), cut: true }),
+			request({ id: 'd', kind: 'cut', body: wholeStream('d').slice(0, 30), truncated: true }),
 			request({ id: 'e', status: 503, body: 'the request has not run' }),
 		],
 		// The stream was resumed at a second engine; the order was refused by the first.
@@ -57,17 +57,17 @@
 			arrival('d'),
 			arrival('e', { rejected: true }),
 		],
-		limits: [],
-		disturbances: [],
-		keys: [
+		announcedLimits: [],
+		injectedFaults: [],
+		keyChanges: [
 			{ key: 'old', version: 3, at: 1000, kind: 'added' },
 			{ key: 'old', version: 5, at: 9000, kind: 'removed' },
 			{ key: 'new', version: 5, at: 9000, kind: 'added' },
 		],
-		left: [{ engine: 'e9', at: 5000 }],
+		departures: [{ engine: 'e9', at: 5000 }],
 		notRecovered: [],
-		grown: [],
-		ended: [],
+		resourceLeaks: [],
+		unexpectedExits: [],
 	};
 }
 
@@ -109,7 +109,12 @@
 	},
 	'divides a limit by nothing': (records) => {
 		const notice = { at: startAt, leaving: false, restMs: 0, limitPerS: 2 };
-		records.limits.push({ engine: 'e1', perS: 2, from: startAt - 10, until: startAt + 9000 });
+		records.announcedLimits.push({
+			engine: 'e1',
+			limitPerS: 2,
+			from: startAt - 10,
+			until: startAt + 9000,
+		});
 		records.requests.push(request({ id: 'f' }), request({ id: 'g', vm: 'vm-2' }));
 		records.arrivals.push(arrival('f', { notice }), arrival('g', { notice }));
 		for (let count = 0; count < 9; count++) {
@@ -123,8 +128,8 @@
 	'cuts a request in a planned stop': (records) => {
 		const from = startAt - 200;
 		const stop = { target: 'vm-1', what: 'stopped', from, until: startAt + 4000, planned: true };
-		records.disturbances.push(stop);
-		records.requests.push(request({ id: 'x', status: 0, body: '', cut: true }));
+		records.injectedFaults.push(stop);
+		records.requests.push(request({ id: 'x', status: 0, body: '', truncated: true }));
 		records.arrivals.push(arrival('x'));
 	},
 	'serves a key that was taken away': (records) => {
@@ -153,16 +158,16 @@
 		records.notRecovered.push('vm-1');
 	},
 	'holds more and more open files': (records) => {
-		records.grown.push('vm-1');
+		records.resourceLeaks.push('vm-1');
 	},
 	'ends by itself': (records) => {
-		records.ended.push('vm-1');
+		records.unexpectedExits.push('vm-1');
 	},
 };
 
 cucumber.Given('records of a run in which all promises hold', function (this: FleetWorld) {
 	const records = goodRecords();
-	assert.deepEqual(check(records), []);
+	assert.deepEqual(checkGuarantees(records), []);
 	this.seen.set('records', records);
 });
 
@@ -174,19 +179,22 @@
 
 cucumber.When('the VM was paused meanwhile', function (this: FleetWorld) {
 	const pause = { target: 'vm-1', what: 'paused', from: 9500, until: 19_000, planned: false };
-	(this.seen.get('records') as SoakRecords).disturbances.push(pause);
+	(this.seen.get('records') as SoakRecords).injectedFaults.push(pause);
 });
 
 cucumber.Then(
 	'the oracle finds that {string} and nothing else',
-	function (this: FleetWorld, promise: keyof typeof promises) {
-		const findings = check(this.seen.get('records') as SoakRecords);
-		assert.deepEqual([...new Set(findings.map((finding) => finding.promise))], [promises[promise]]);
+	function (this: FleetWorld, promise: keyof typeof guarantees) {
+		const findings = checkGuarantees(this.seen.get('records') as SoakRecords);
+		assert.deepEqual(
+			[...new Set(findings.map((finding) => finding.guarantee))],
+			[guarantees[promise]],
+		);
 	},
 );
 
 cucumber.Then('the oracle finds nothing', function (this: FleetWorld) {
-	assert.deepEqual(check(this.seen.get('records') as SoakRecords), []);
+	assert.deepEqual(checkGuarantees(this.seen.get('records') as SoakRecords), []);
 });
 
 /** A connection through the proxy to a server that sends back all it gets. */
@@ -226,7 +234,7 @@
 	async function (this: FleetWorld) {
 		const echo = echoOf(this);
 		for (const delayMs of [0, 120, 0, 60, 0]) {
-			echo.proxy.delay(delayMs);
+			echo.proxy.setDelay(delayMs);
 			echo.socket.write(`${delayMs} `);
 			await pause(15);
 		}
@@ -239,12 +247,12 @@
 	'nothing comes back while it is silent, and all of it after that',
 	async function (this: FleetWorld) {
 		const echo = echoOf(this);
-		echo.proxy.set('silent');
+		echo.proxy.setState('silent');
 		echo.received = '';
 		echo.socket.write('waits');
 		await pause(200);
 		assert.equal(echo.received, '');
-		echo.proxy.set('well');
+		echo.proxy.setState('well');
 		await pause(200);
 		assert.equal(echo.received, 'waits');
 	},
@@ -252,7 +260,7 @@
 
 cucumber.Then('a new connection is reset while it refuses', async function (this: FleetWorld) {
 	const echo = echoOf(this);
-	echo.proxy.set('refusing');
+	echo.proxy.setState('refusing');
 	const socket = net.connect(echo.port, '127.0.0.1');
 	const code = await new Promise((done) => {
 		socket.on('error', (err: NodeJS.ErrnoException) => done(err.code));
