--- a/bench/experiment.ts
+++ b/bench/experiment.ts
@@ -5,7 +5,7 @@
  */
 import type { Configuration } from '../src/core/configuration/index.js';
 import type { ClassSummary } from '../src/core/replay/summary.js';
-import { isAttained, isUseful, summarize } from '../src/core/replay/summary.js';
+import { isGoodput, isWithinTargets, summarize } from '../src/core/replay/summary.js';
 import type { ClassTargets, ReplayResult, TraceRequest } from '../src/core/replay/types.js';
 import type { TimelineEvent } from '../src/core/timeline/index.js';
 import { mergeTimelines } from '../src/core/timeline/index.js';
@@ -144,9 +144,9 @@
 	const targets = targetsOf(cfg);
 	const durationS = (opts.trace.at(-1)?.at_ms ?? 1000) / 1000;
 	const targetOf = (result: ReplayResult) => targets.get(result.class) as ClassTargets;
-	const useful = results.filter((result) => isUseful(result, targetOf(result)));
+	const useful = results.filter((result) => isGoodput(result, targetOf(result)));
 	const usefulTokens = sumTokens(useful);
-	const attained = results.filter((result) => isAttained(result, targetOf(result)));
+	const attained = results.filter((result) => isWithinTargets(result, targetOf(result)));
 	const deadlines = new Map([...targets].map(([name, target]) => [name, target.deadlineMs]));
 	const engines = new Set(
 		cfg.endpoints.filter((endpoint) => endpoint.kind === 'engine').map((endpoint) => endpoint.name),
@@ -191,7 +191,7 @@
 		if (target.tier <= topTiers && second >= -2) {
 			const bin = seconds.get(second) ?? { all: 0, attained: 0 };
 			bin.all++;
-			bin.attained += isAttained(result, target) ? 1 : 0;
+			bin.attained += isWithinTargets(result, target) ? 1 : 0;
 			seconds.set(second, bin);
 		}
 	}
--- a/src/cli/config/index.ts
+++ b/src/cli/config/index.ts
@@ -13,7 +13,7 @@
 import { exitCodes } from '../exit-codes.js';
 import { FleetClient } from '../fleet-client.js';
 import type { GlobalArgs } from '../types.js';
-import { waitInForce } from './in-force.js';
+import { waitUntilApplied } from './wait-until-applied.js';
 
 interface FileArgs extends GlobalArgs {
 	file: string;
@@ -39,7 +39,7 @@
 	command: 'show',
 	describe: 'print the configuration in force as TOML',
 	handler: async (args) => {
-		const current = await new FleetClient(args).first.configuration.query();
+		const current = await new FleetClient(args).client.configuration.query();
 		if (!current) {
 			throw new errors.UserError(errors.data.NotReady);
 		}
@@ -55,7 +55,7 @@
 	builder: fileBuilder,
 	handler: async (args) => {
 		const document = await load(args.file);
-		const current = await new FleetClient(args).first.configuration.query();
+		const current = await new FleetClient(args).client.configuration.query();
 		printDiff(current?.document, document);
 	},
 };
@@ -72,16 +72,16 @@
 	handler: async (args) => {
 		const document = await load(args.file);
 		const fleet = new FleetClient(args);
-		const current = await fleet.first.configuration.query();
+		const current = await fleet.client.configuration.query();
 		printDiff(current?.document, document);
 		if (args['dry-run']) {
 			process.stdout.write(`dry run: version ${current?.version ?? 0} stays in force\n`);
 			return;
 		}
 		const base = args.base ?? current?.version ?? 0;
-		const accepted = await fleet.first.applyConfiguration.mutate({ document, base, by: args.by });
+		const accepted = await fleet.client.applyConfiguration.mutate({ document, base, by: args.by });
 		process.stdout.write(`version ${accepted.version} accepted\n`);
-		process.exitCode = await waitInForce(fleet, accepted.version);
+		process.exitCode = await waitUntilApplied(fleet, accepted.version);
 	},
 };
 
--- a/src/cli/config/in-force.ts
+++ b/src/cli/config/wait-until-applied.ts
@@ -10,10 +10,10 @@
 const pollMs = 100;
 
 /** Resolves with the exit code. */
-export async function waitInForce(fleet: FleetClient, version: number): Promise<number> {
+export async function waitUntilApplied(fleet: FleetClient, version: number): Promise<number> {
 	const until = performance.now() + inForceMs;
 	for (;;) {
-		const { answers, missing } = await fleet.askAll((client) => client.status.query());
+		const { answers, missing } = await fleet.queryAll((client) => client.status.query());
 		const behind = answers.filter(({ value }) => value.configuration_version < version);
 		const done = behind.length === 0 && missing.length === 0;
 		if (done || performance.now() > until) {
--- a/src/cli/explain/index.ts
+++ b/src/cli/explain/index.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import type * as yargs from 'yargs';
-import { tellStory } from '../../core/explain/story.js';
+import { explainRequest } from '../../core/explain/explain-request.js';
 import { formatFields } from '../../infra/logfmt-log.js';
 import { exitCodes } from '../exit-codes.js';
 import { readLogs } from '../log-files.js';
@@ -23,7 +23,7 @@
 			.positional('files', { type: 'string', array: true, describe: 'logs, lines in any order' }),
 	handler: async (args) => {
 		const lines = await readLogs(args.files ?? []);
-		const story = tellStory(args.request, lines);
+		const story = explainRequest(args.request, lines);
 		for (const line of story.lines) {
 			process.stdout.write(`${formatFields(Object.fromEntries(line))}\n`);
 		}
--- a/src/cli/find/index.ts
+++ b/src/cli/find/index.ts
@@ -38,7 +38,14 @@
 		const { engine, route, vm, outcome, took } = args;
 		const times = { from: millisecondsOf(args.from), to: millisecondsOf(args.to) };
 		const lines = await readLogs(args.files ?? []);
-		const found = findRequests(lines, { ...times, engine, route, vm, outcome, tookMs: took });
+		const found = findRequests(lines, {
+			...times,
+			engine,
+			route,
+			vm,
+			outcome,
+			minDurationMs: took,
+		});
 		for (const line of found) {
 			process.stdout.write(`${formatFields(Object.fromEntries(line))}\n`);
 		}
--- a/src/cli/fleet-client.ts
+++ b/src/cli/fleet-client.ts
@@ -13,25 +13,25 @@
 const slowAnswerMs = 30_000;
 
 /** Answers of the daemons that gave one, and the VMs that did not. */
-export interface FleetAnswer<T> {
+export interface FleetAnswers<T> {
 	answers: { vm: string; value: T }[];
 	missing: string[];
 }
 
 export class FleetClient {
-	readonly first: ControlClient;
+	readonly client: ControlClient;
 	/** The same daemon, for calls that may wait out a lease. */
-	readonly slow: ControlClient;
+	readonly longTimeoutClient: ControlClient;
 
 	constructor(private readonly args: GlobalArgs) {
-		this.first = createControlClient(args.daemon, args.token, answerMs);
-		this.slow = createControlClient(args.daemon, args.token, slowAnswerMs);
+		this.client = createControlClient(args.daemon, args.token, answerMs);
+		this.longTimeoutClient = createControlClient(args.daemon, args.token, slowAnswerMs);
 	}
 
 	/** Asks every live daemon at once. */
-	async askAll<T>(ask: (client: ControlClient) => Promise<T>): Promise<FleetAnswer<T>> {
-		const status = await this.first.status.query();
-		const result: FleetAnswer<T> = { answers: [], missing: [] };
+	async queryAll<T>(ask: (client: ControlClient) => Promise<T>): Promise<FleetAnswers<T>> {
+		const status = await this.client.status.query();
+		const result: FleetAnswers<T> = { answers: [], missing: [] };
 		const asks = status.members.map(async ({ vm, control }) => {
 			const client = createControlClient(control, this.args.token, answerMs);
 			try {
--- a/src/cli/log-files.ts
+++ b/src/cli/log-files.ts
@@ -5,7 +5,7 @@
 import * as fs from 'node:fs';
 import * as readline from 'node:readline';
 import type { LogLine } from '../core/explain/log-line.js';
-import { parseLine } from '../core/explain/log-line.js';
+import { parseLogLine } from '../core/explain/log-line.js';
 
 /** @param files standard input when empty */
 export async function readLogs(files: readonly string[]): Promise<LogLine[]> {
@@ -14,7 +14,7 @@
 	const lines: LogLine[] = [];
 	for (const input of inputs) {
 		for await (const text of readline.createInterface({ input })) {
-			const line = parseLine(text);
+			const line = parseLogLine(text);
 			if (line) {
 				lines.push(line);
 			}
--- a/src/cli/query/index.ts
+++ b/src/cli/query/index.ts
@@ -8,24 +8,28 @@
 import { exitCodes } from '../exit-codes.js';
 import { FleetClient } from '../fleet-client.js';
 import type { GlobalArgs } from '../types.js';
-import type { LineOptions, Output } from './run-line.js';
-import { outputs, runLine } from './run-line.js';
+import type { OutputFormat, RunOptions } from './run-line.js';
+import { outputFormats, runLine } from './run-line.js';
 
 export interface QueryArgs extends GlobalArgs {
-	output: Output;
+	output: OutputFormat;
 	'dry-run': boolean;
 	by: string;
 }
 
 /** Options that every form of the language has. */
-export function queryOptions(args: yargs.Argv<GlobalArgs>) {
+export function addQueryOptions(args: yargs.Argv<GlobalArgs>) {
 	return args
-		.option('output', { choices: outputs, default: 'table' as Output, describe: 'form of output' })
+		.option('output', {
+			choices: outputFormats,
+			default: 'table' as OutputFormat,
+			describe: 'form of output',
+		})
 		.option('dry-run', { type: 'boolean', default: false, describe: 'change nothing, show it' })
 		.option('by', { type: 'string', default: os.userInfo().username, describe: 'your name' });
 }
 
-export function lineOptions(args: QueryArgs): LineOptions {
+export function toRunOptions(args: QueryArgs): RunOptions {
 	return { output: args.output, dryRun: args['dry-run'], by: args.by };
 }
 
@@ -33,23 +37,28 @@
 	command: '$0 <text..>',
 	describe: 'one line of the query and command language, such as "show requests where late = true"',
 	builder: (args) =>
-		queryOptions(args).positional('text', { type: 'string', array: true, demandOption: true }),
+		addQueryOptions(args).positional('text', { type: 'string', array: true, demandOption: true }),
 	handler: async (args) => {
-		process.exitCode = await runLine(new FleetClient(args), args.text.join(' '), lineOptions(args));
+		process.exitCode = await runLine(
+			new FleetClient(args),
+			args.text.join(' '),
+			toRunOptions(args),
+		);
 	},
 };
 
 export const runCommand: yargs.CommandModule<GlobalArgs, QueryArgs & { file: string }> = {
 	command: 'run <file>',
 	describe: 'the lines of a file, until one fails; # starts a comment',
-	builder: (args) => queryOptions(args).positional('file', { type: 'string', demandOption: true }),
+	builder: (args) =>
+		addQueryOptions(args).positional('file', { type: 'string', demandOption: true }),
 	handler: async (args) => {
 		const fleet = new FleetClient(args);
 		for (const line of (await fs.readFile(args.file, 'utf8')).split('\n')) {
 			if (line.trim() === '' || line.trim().startsWith('#')) {
 				continue;
 			}
-			const code = await runLine(fleet, line, lineOptions(args));
+			const code = await runLine(fleet, line, toRunOptions(args));
 			if (code !== exitCodes.ok) {
 				process.exitCode = code;
 				return;
--- a/src/cli/query/run-line.ts
+++ b/src/cli/query/run-line.ts
@@ -5,9 +5,9 @@
 
 import { diffConfigurations } from '../../core/configuration/diff.js';
 import * as errors from '../../core/errors/index.js';
-import { change } from '../../core/query/change.js';
-import { evaluate } from '../../core/query/evaluate.js';
-import { parseLine } from '../../core/query/parse.js';
+import { applyCommand } from '../../core/query/apply-command.js';
+import { evaluateQuery } from '../../core/query/evaluate.js';
+import { parseStatement } from '../../core/query/parse.js';
 import type {
 	DrainCommand,
 	OrderCommand,
@@ -18,28 +18,24 @@
 } from '../../core/query/types.js';
 import { formatTable } from '../../core/text/table.js';
 import { formatFields } from '../../infra/logfmt-log.js';
-import { waitInForce } from '../config/in-force.js';
+import { waitUntilApplied } from '../config/wait-until-applied.js';
 import { exitCodes } from '../exit-codes.js';
 import type { FleetClient } from '../fleet-client.js';
 import { readSource, sourceFields } from './sources.js';
 
 /** Forms of output. */
-export const outputs = ['table', 'json', 'kv'] as const;
-export type Output = (typeof outputs)[number];
+export const outputFormats = ['table', 'json', 'kv'] as const;
+export type OutputFormat = (typeof outputFormats)[number];
 
-export interface LineOptions {
-	output: Output;
+export interface RunOptions {
+	output: OutputFormat;
 	dryRun: boolean;
 	by: string;
 }
 
 /** Resolves with the exit code. */
-export async function runLine(
-	fleet: FleetClient,
-	line: string,
-	opts: LineOptions,
-): Promise<number> {
-	const parsed = await parseLine(line);
+export async function runLine(fleet: FleetClient, line: string, opts: RunOptions): Promise<number> {
+	const parsed = await parseStatement(line);
 	if ('error' in parsed) {
 		return complain(line, parsed.error);
 	}
@@ -56,10 +52,10 @@
 	fleet: FleetClient,
 	line: string,
 	query: Query,
-	opts: LineOptions,
+	opts: RunOptions,
 ): Promise<number> {
 	const { rows, missing } = await readSource(fleet, query.source);
-	const result = evaluate(query, rows, sourceFields[query.source]);
+	const result = evaluateQuery(query, rows, sourceFields[query.source]);
 	if ('error' in result) {
 		return complain(line, result.error);
 	}
@@ -74,7 +70,7 @@
 async function order(
 	fleet: FleetClient,
 	statement: OrderCommand,
-	opts: LineOptions,
+	opts: RunOptions,
 ): Promise<number> {
 	const what = `${statement.order} ${statement.argument}`.trim();
 	if (opts.dryRun) {
@@ -82,7 +78,7 @@
 		return exitCodes.ok;
 	}
 	const { endpoint, order: kind, argument } = statement;
-	const token = await fleet.slow.order.mutate({ endpoint, kind, argument });
+	const token = await fleet.longTimeoutClient.order.mutate({ endpoint, kind, argument });
 	process.stdout.write(`${endpoint} took ${what}, fencing token ${token}\n`);
 	return exitCodes.ok;
 }
@@ -91,13 +87,13 @@
 	fleet: FleetClient,
 	line: string,
 	statement: SetCommand | DrainCommand,
-	opts: LineOptions,
+	opts: RunOptions,
 ): Promise<number> {
-	const current = await fleet.first.configuration.query();
+	const current = await fleet.client.configuration.query();
 	if (!current) {
 		throw new errors.UserError(errors.data.NotReady);
 	}
-	const changed = change(current.document, statement);
+	const changed = applyCommand(current.document, statement);
 	if ('error' in changed) {
 		return complain(line, changed.error);
 	}
@@ -107,13 +103,13 @@
 		process.stdout.write(`version ${current.version} stays in force\n`);
 		return exitCodes.ok;
 	}
-	const accepted = await fleet.first.applyConfiguration.mutate({
+	const accepted = await fleet.client.applyConfiguration.mutate({
 		document: changed.document,
 		base: current.version,
 		by: opts.by,
 	});
 	process.stdout.write(`version ${accepted.version} accepted\n`);
-	return waitInForce(fleet, accepted.version);
+	return waitUntilApplied(fleet, accepted.version);
 }
 
 function complain(line: string, error: QueryError): number {
@@ -123,7 +119,7 @@
 	return exitCodes.usage;
 }
 
-function format(rows: readonly Row[], output: Output): string {
+function format(rows: readonly Row[], output: OutputFormat): string {
 	if (output === 'json') {
 		return JSON.stringify(rows);
 	}
--- a/src/cli/query/sources.ts
+++ b/src/cli/query/sources.ts
@@ -4,7 +4,7 @@
  */
 import type { Row, Source, Value } from '../../core/query/types.js';
 import type { ControlClient } from '../../infra/control/control-client.js';
-import type { FleetAnswer, FleetClient } from '../fleet-client.js';
+import type { FleetAnswers, FleetClient } from '../fleet-client.js';
 
 /** Fields of each source, in the order in which they are shown. */
 export const sourceFields: Record<Source, string[]> = {
@@ -44,7 +44,7 @@
 
 export async function readSource(fleet: FleetClient, source: Source): Promise<SourceRows> {
 	if (source === 'classes' || source === 'customers') {
-		const current = await fleet.first.configuration.query();
+		const current = await fleet.client.configuration.query();
 		const items = (current?.document[source] ?? []) as unknown as Row[];
 		return { rows: items.map((item) => pick(item, sourceFields[source])), missing: [] };
 	}
@@ -54,7 +54,7 @@
 		shed: readShed,
 		vms: readVm,
 	};
-	const answer: FleetAnswer<Row[]> = await fleet.askAll(asks[source]);
+	const answer: FleetAnswers<Row[]> = await fleet.queryAll(asks[source]);
 	const rows = answer.answers.flatMap(({ value }) => value);
 	return { rows, missing: answer.missing };
 }
--- a/src/cli/replay/index.ts
+++ b/src/cli/replay/index.ts
@@ -13,7 +13,7 @@
 import { exitCodes } from '../exit-codes.js';
 import { FleetClient } from '../fleet-client.js';
 import type { GlobalArgs } from '../types.js';
-import { readTargets } from './targets.js';
+import { readClassTargets } from './targets.js';
 
 interface ReplayArgs extends GlobalArgs {
 	trace: string;
@@ -48,7 +48,7 @@
 	handler: async (args) => {
 		const trace = await readTrace(args.trace);
 		const keys = new Map(Object.entries(JSON.parse(await fs.readFile(args.keys, 'utf8'))));
-		const targets = await readTargets(new FleetClient(args));
+		const targets = await readClassTargets(new FleetClient(args));
 		const client = new ReplayClient({
 			daemonUrls: args.to,
 			keys: keys as Map<string, string>,
--- a/src/cli/replay/targets.ts
+++ b/src/cli/replay/targets.ts
@@ -5,8 +5,8 @@
 import type { ClassTargets } from '../../core/replay/types.js';
 import type { FleetClient } from '../fleet-client.js';
 
-export async function readTargets(fleet: FleetClient): Promise<Map<string, ClassTargets>> {
-	const current = await fleet.first.configuration.query();
+export async function readClassTargets(fleet: FleetClient): Promise<Map<string, ClassTargets>> {
+	const current = await fleet.client.configuration.query();
 	const classes = current?.document.classes ?? [];
 	return new Map(
 		classes.map((cls) => [
--- a/src/cli/report/index.ts
+++ b/src/cli/report/index.ts
@@ -4,10 +4,10 @@
  */
 import * as fs from 'node:fs/promises';
 import type * as yargs from 'yargs';
-import { reportPage } from '../../core/replay/report-page.js';
+import { renderReportPage } from '../../core/replay/report-page.js';
 import type { ReplayResult } from '../../core/replay/types.js';
 import { FleetClient } from '../fleet-client.js';
-import { readTargets } from '../replay/targets.js';
+import { readClassTargets } from '../replay/targets.js';
 import type { GlobalArgs } from '../types.js';
 
 interface ReportArgs extends GlobalArgs {
@@ -29,8 +29,8 @@
 		const results = lines
 			.filter((line) => line !== '')
 			.map((line) => JSON.parse(line) as ReplayResult);
-		const targets = await readTargets(new FleetClient(args));
-		await fs.writeFile(args.out, reportPage(args.title, results, targets));
+		const targets = await readClassTargets(new FleetClient(args));
+		await fs.writeFile(args.out, renderReportPage(args.title, results, targets));
 		process.stdout.write(`${args.out}: ${results.length} requests\n`);
 	},
 };
--- a/src/cli/status/index.ts
+++ b/src/cli/status/index.ts
@@ -13,7 +13,7 @@
 	describe: 'show every daemon: readiness, configuration version, queue, cost',
 	handler: async (args) => {
 		const fleet = new FleetClient(args);
-		const { answers, missing } = await fleet.askAll((client) => client.status.query());
+		const { answers, missing } = await fleet.queryAll((client) => client.status.query());
 		const rows = answers.map(({ value }) => ({
 			vm: value.vm,
 			failure_domain: value.failure_domain,
--- a/src/cli/timeline/index.ts
+++ b/src/cli/timeline/index.ts
@@ -6,7 +6,7 @@
 import type * as yargs from 'yargs';
 import type { TimelineEvent } from '../../core/timeline/index.js';
 import { mergeTimelines } from '../../core/timeline/index.js';
-import { timelinePage } from '../../core/timeline/timeline-page.js';
+import { renderTimelinePage } from '../../core/timeline/timeline-page.js';
 import { formatFields } from '../../infra/logfmt-log.js';
 import { exitCodes } from '../exit-codes.js';
 import { FleetClient } from '../fleet-client.js';
@@ -39,7 +39,7 @@
 		const fleet = new FleetClient(args);
 		const seen = new Map<string, number>();
 		do {
-			const { answers, missing } = await fleet.askAll(async (client) => {
+			const { answers, missing } = await fleet.queryAll(async (client) => {
 				const { vm } = await client.status.query();
 				return client.events.query({ since: seen.get(vm) ?? 0 });
 			});
@@ -62,7 +62,7 @@
 async function print(timelines: TimelineEvent[][], args: TimelineArgs): Promise<void> {
 	const merged = mergeTimelines(timelines).filter((event) => matches(event, args));
 	if (args.html !== undefined) {
-		await fs.writeFile(args.html, timelinePage(merged));
+		await fs.writeFile(args.html, renderTimelinePage(merged));
 		process.stdout.write(`${args.html}: ${merged.length} events\n`);
 		return;
 	}
--- a/src/core/explain/story.ts
+++ b/src/core/explain/explain-request.ts
@@ -34,7 +34,7 @@
 const endEvents: readonly string[] = ['request.ended', 'request.denied', 'request.quarantined'];
 const placeEvents: readonly string[] = ['request.placed', 'request.denied', 'request.quarantined'];
 
-export interface Story {
+export interface RequestExplanation {
 	/** Lines about the request and what was believed, by time. */
 	lines: LogLine[];
 	/** What the logs do not tell. */
@@ -42,7 +42,7 @@
 }
 
 /** @param lines of all VMs, in any order */
-export function tellStory(request: string, lines: readonly LogLine[]): Story {
+export function explainRequest(request: string, lines: readonly LogLine[]): RequestExplanation {
 	const own = lines.filter((line) => line.get('request') === request);
 	if (own.length === 0) {
 		return { lines: [], gaps: [`no line names request ${request}`] };
--- a/src/core/explain/find-requests.ts
+++ b/src/core/explain/find-requests.ts
@@ -17,7 +17,7 @@
 	/** How it ended, as `request.ended` tells it; else one of `otherOutcomes`. */
 	outcome?: string;
 	/** Those that took at least so long, in milliseconds. */
-	tookMs?: number;
+	minDurationMs?: number;
 }
 
 /** Ends that `request.ended` does not tell: no route or key allows it, or its content crashed engines. */
@@ -53,7 +53,7 @@
 		(filter.route === undefined || line.get('route') === filter.route) &&
 		(filter.vm === undefined || line.get('vm') === filter.vm) &&
 		(filter.outcome === undefined || outcomeOf(line) === filter.outcome) &&
-		(filter.tookMs === undefined || Number(line.get('took_ms') ?? 0) >= filter.tookMs)
+		(filter.minDurationMs === undefined || Number(line.get('took_ms') ?? 0) >= filter.minDurationMs)
 	);
 }
 
--- a/src/core/explain/log-line.ts
+++ b/src/core/explain/log-line.ts
@@ -9,7 +9,7 @@
 const pair = /([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)/g;
 
 /** @returns undefined for a line that names no event */
-export function parseLine(text: string): LogLine | undefined {
+export function parseLogLine(text: string): LogLine | undefined {
 	const line = new Map<string, string>();
 	for (const [, name = '', value = ''] of text.matchAll(pair)) {
 		line.set(name, value.startsWith('"') ? unquote(value) : value);
--- a/src/core/html/svg.ts
+++ b/src/core/html/html.ts
@@ -20,7 +20,7 @@
 }
 
 /** One page without anything from outside. */
-export function page(title: string, body: string): string {
+export function renderPage(title: string, body: string): string {
 	return `<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>${escapeHtml(title)}</title>
 <style>
@@ -36,7 +36,7 @@
 }
 
 /** A table of rows with the same keys. */
-export function htmlTable(rows: readonly object[]): string {
+export function renderTable(rows: readonly object[]): string {
 	const names = Object.keys(rows[0] ?? {});
 	const head = names.map((name) => `<th>${escapeHtml(name)}</th>`).join('');
 	const body = rows.map((row) => {
@@ -56,7 +56,7 @@
 const chart = { width: 900, height: 220, left: 60, bottom: 30, top: 10, right: 130 } as const;
 
 /** A line chart; `step` names what one step is. */
-export function lineChart(title: string, step: string, series: readonly Series[]): string {
+export function renderLineChart(title: string, step: string, series: readonly Series[]): string {
 	const length = Math.max(2, ...series.map(({ values }) => values.length));
 	const peak = Math.max(1, ...series.flatMap(({ values }) => values));
 	const plotWidth = chart.width - chart.left - chart.right;
--- a/src/core/query/change.ts
+++ b/src/core/query/apply-command.ts
@@ -4,17 +4,20 @@
  */
 import type { Configuration } from '../configuration/index.js';
 import { configurationSchema, crossCheck } from '../configuration/index.js';
-import { wordError } from './parse.js';
+import { unexpectedWordError } from './parse.js';
 import type { DrainCommand, QueryError, SetCommand, Subject } from './types.js';
 
 const lists = { class: 'classes', customer: 'customers', endpoint: 'endpoints' } as const;
 /** Settings that name the thing itself. */
 const fixed = new Set(['name', 'key_hashes']);
 
-export type Changed = { document: Configuration } | { error: QueryError };
+export type ApplyCommandResult = { document: Configuration } | { error: QueryError };
 
 /** The configuration after a command; checked as a whole. */
-export function change(cfg: Configuration, command: SetCommand | DrainCommand): Changed {
+export function applyCommand(
+	cfg: Configuration,
+	command: SetCommand | DrainCommand,
+): ApplyCommandResult {
 	if (command.kind !== 'set') {
 		const state = command.kind === 'drain' ? 'drained' : 'active';
 		return setField(cfg, 'endpoint', command.endpoint, 'state', state, command.column);
@@ -30,13 +33,13 @@
 	field: string,
 	value: unknown,
 	column: number,
-): Changed {
+): ApplyCommandResult {
 	const list = lists[subject];
 	const items = cfg[list] as { name: string }[];
 	const item = items.find((known) => known.name === name);
 	if (!item) {
 		return {
-			error: wordError(
+			error: unexpectedWordError(
 				name,
 				column,
 				items.map((known) => known.name),
@@ -45,7 +48,7 @@
 	}
 	const fields = fieldsOf(list).filter((known) => !fixed.has(known));
 	if (!fields.includes(field)) {
-		return { error: wordError(field, column, fields) };
+		return { error: unexpectedWordError(field, column, fields) };
 	}
 	const changed = items.map((known) => (known === item ? { ...known, [field]: value } : known));
 	const parsed = configurationSchema.safeParse({ ...cfg, [list]: changed });
--- a/src/core/query/evaluate.ts
+++ b/src/core/query/evaluate.ts
@@ -2,13 +2,17 @@
  * Answers a question over rows: filter, group, sort, cut.
  * @module
  */
-import { wordError } from './parse.js';
+import { unexpectedWordError } from './parse.js';
 import type { Condition, Query, QueryError, Row, Value } from './types.js';
 
-export type Evaluated = { rows: Row[] } | { error: QueryError };
+export type QueryResult = { rows: Row[] } | { error: QueryError };
 
 /** `fields` are those that rows of the source have, also when there are no rows. */
-export function evaluate(query: Query, rows: readonly Row[], fields: readonly string[]): Evaluated {
+export function evaluateQuery(
+	query: Query,
+	rows: readonly Row[],
+	fields: readonly string[],
+): QueryResult {
 	const wrong = findUnknownField(query, fields);
 	if (wrong) {
 		return { error: wrong };
@@ -24,11 +28,11 @@
 		query.groupBy.length > 0 ? [...query.groupBy.map(({ field }) => field), 'count'] : fields;
 	const asked = [...query.where, ...query.groupBy].find(({ field }) => !fields.includes(field));
 	if (asked) {
-		return wordError(asked.field, asked.column, fields);
+		return unexpectedWordError(asked.field, asked.column, fields);
 	}
 	const { sortBy } = query;
 	return sortBy && !shown.includes(sortBy.field)
-		? wordError(sortBy.field, sortBy.column, shown)
+		? unexpectedWordError(sortBy.field, sortBy.column, shown)
 		: undefined;
 }
 
--- a/src/core/query/parse.ts
+++ b/src/core/query/parse.ts
@@ -6,7 +6,15 @@
 import * as levenshtein from 'fastest-levenshtein';
 import { orderKinds } from '../definitions.js';
 import type { StatementNode } from './grammar.js';
-import type { Operator, Parsed, QueryError, Source, Statement, Subject, Value } from './types.js';
+import type {
+	Operator,
+	ParseResult,
+	QueryError,
+	Source,
+	Statement,
+	Subject,
+	Value,
+} from './types.js';
 import { sources, subjects } from './types.js';
 
 /** Words further apart than this are not suggested. */
@@ -15,7 +23,7 @@
 const clauseWords = ['where', 'and', 'group by', 'sort by', 'desc', 'limit'];
 
 /** What the line says, or what is wrong with it and where. */
-export async function parseLine(line: string): Promise<Parsed> {
+export async function parseStatement(line: string): Promise<ParseResult> {
 	const grammar = await import('./grammar.js');
 	const lexed = grammar.lexer.tokenize(line);
 	const [bad] = lexed.errors;
@@ -33,7 +41,7 @@
 	return toStatement(node);
 }
 
-function toStatement(node: StatementNode): Parsed {
+function toStatement(node: StatementNode): ParseResult {
 	if (node.kind === 'show') {
 		return toQuery(node);
 	}
@@ -41,7 +49,7 @@
 		const known = Object.values(subjects);
 		const subject = node.subject.image as Subject;
 		if (!known.includes(subject)) {
-			return { error: unknownWord(node.subject, known) };
+			return { error: unexpectedTokenError(node.subject, known) };
 		}
 		const statement: Statement = {
 			kind: 'set',
@@ -60,20 +68,20 @@
 	return { statement: { kind: node.kind, endpoint: node.endpoint.image, column } };
 }
 
-function toOrder(node: StatementNode & { kind: 'order' }): Parsed {
+function toOrder(node: StatementNode & { kind: 'order' }): ParseResult {
 	const order = orderKinds.find((known) => known === node.order.image);
 	if (!order) {
-		return { error: unknownWord(node.order, [...orderKinds]) };
+		return { error: unexpectedTokenError(node.order, [...orderKinds]) };
 	}
 	const argument = node.argument === undefined ? '' : String(tokenValue(node.argument));
 	return { statement: { kind: 'order', endpoint: node.endpoint.image, order, argument } };
 }
 
-function toQuery(node: StatementNode & { kind: 'show' }): Parsed {
+function toQuery(node: StatementNode & { kind: 'show' }): ParseResult {
 	const known = Object.values(sources);
 	const source = node.source.image as Source;
 	if (!known.includes(source)) {
-		return { error: unknownWord(node.source, known) };
+		return { error: unexpectedTokenError(node.source, known) };
 	}
 	const statement: Statement = {
 		kind: 'show',
@@ -107,14 +115,18 @@
 }
 
 /** An error about a word that is not known, with the nearest that is. */
-export function unknownWord(
+export function unexpectedTokenError(
 	token: { image: string; startOffset: number },
 	known: string[],
 ): QueryError {
-	return wordError(token.image, token.startOffset + 1, known);
+	return unexpectedWordError(token.image, token.startOffset + 1, known);
 }
 
-export function wordError(word: string, column: number, known: readonly string[]): QueryError {
+export function unexpectedWordError(
+	word: string,
+	column: number,
+	known: readonly string[],
+): QueryError {
 	const message = `unexpected ${word === '' ? 'end of line' : `"${word}"`}, expected ${known.join(', ')}`;
 	return { column, message, suggestion: nearest(word, known) };
 }
@@ -136,10 +148,10 @@
 	const afterValue =
 		rest.previousToken !== undefined && failure.name === 'NotAllInputParsedException';
 	if (atStart) {
-		return wordError(ended ? '' : token.image, column, firstWords);
+		return unexpectedWordError(ended ? '' : token.image, column, firstWords);
 	}
 	if (afterValue) {
-		return wordError(token.image, column, clauseWords);
+		return unexpectedWordError(token.image, column, clauseWords);
 	}
 	const expected = /--> (.*?) <--/.exec(failure.message)?.[1];
 	const what = expected ? expected.toLowerCase() : 'a word, number or "text"';
--- a/src/core/query/types.ts
+++ b/src/core/query/types.ts
@@ -79,6 +79,6 @@
 	suggestion?: string;
 }
 
-export type Parsed = { statement: Statement } | { error: QueryError };
+export type ParseResult = { statement: Statement } | { error: QueryError };
 
 export type Row = Record<string, Value>;
--- a/src/core/replay/report-page.ts
+++ b/src/core/replay/report-page.ts
@@ -2,15 +2,15 @@
  * A replay as a page: figures by class, attainment, goodput and wasted work over time.
  * @module
  */
-import type { Series } from '../html/svg.js';
-import * as svg from '../html/svg.js';
-import { isAttained, isUseful, summarize } from './summary.js';
+import type { Series } from '../html/html.js';
+import * as svg from '../html/html.js';
+import { isGoodput, isWithinTargets, summarize } from './summary.js';
 import type { ClassTargets, ReplayResult } from './types.js';
 
 /** Length of one step of the charts, in milliseconds. */
 const stepMs = 1000;
 
-export function reportPage(
+export function renderReportPage(
 	title: string,
 	results: readonly ReplayResult[],
 	targets: ReadonlyMap<string, ClassTargets>,
@@ -21,17 +21,17 @@
 	const rows = summarize(results, targets, Math.max((end - begin) / 1000, 1));
 	const charts = [
 		chartOf('Attainment, percent of the requests sent in a second', (bin, target) => {
-			const attained = bin.filter((result) => isAttained(result, target)).length;
+			const attained = bin.filter((result) => isWithinTargets(result, target)).length;
 			return bin.length === 0 ? 0 : (100 * attained) / bin.length;
 		}),
 		chartOf('Goodput, tokens of answers in target, by second of sending', (bin, target) =>
-			tokensOf(bin.filter((result) => isAttained(result, target))),
+			tokensOf(bin.filter((result) => isWithinTargets(result, target))),
 		),
 		chartOf('Wasted, tokens of answers that were not whole or too late', (bin, target) =>
-			tokensOf(bin.filter((result) => !isUseful(result, target))),
+			tokensOf(bin.filter((result) => !isGoodput(result, target))),
 		),
 	];
-	return svg.page(title, [svg.htmlTable(rows), ...charts].join('\n'));
+	return svg.renderPage(title, [svg.renderTable(rows), ...charts].join('\n'));
 
 	function chartOf(
 		name: string,
@@ -48,7 +48,7 @@
 			const values = bins.map((bin) => value(bin, target));
 			return { name: row.class, colour: svg.tierColour(row.tier), values };
 		});
-		return svg.lineChart(name, 'seconds', series);
+		return svg.renderLineChart(name, 'seconds', series);
 	}
 }
 
--- a/src/core/replay/summary.ts
+++ b/src/core/replay/summary.ts
@@ -53,14 +53,14 @@
 }
 
 /** Whole, before the deadline, and for a stream its tokens within their targets. */
-export function isAttained(result: ReplayResult, target: ClassTargets): boolean {
+export function isWithinTargets(result: ReplayResult, target: ClassTargets): boolean {
 	const inTime =
 		result.firstTokenMs <= target.firstTokenMs && result.betweenMs <= target.betweenTokensMs;
-	return isUseful(result, target) && (inTime || !result.streamed);
+	return isGoodput(result, target) && (inTime || !result.streamed);
 }
 
 /** Whole, and before the deadline. */
-export function isUseful(result: ReplayResult, target: ClassTargets): boolean {
+export function isGoodput(result: ReplayResult, target: ClassTargets): boolean {
 	return result.outcome === 'complete' && !result.wrong && result.totalMs <= target.deadlineMs;
 }
 
@@ -72,8 +72,8 @@
 ): ClassSummary {
 	const firsts = histogramOf(results.map((result) => (result.streamed ? result.firstTokenMs : 0)));
 	const betweens = histogramOf(results.map((result) => result.betweenMs));
-	const useful = results.filter((result) => isUseful(result, target));
-	const attained = results.filter((result) => isAttained(result, target)).length;
+	const useful = results.filter((result) => isGoodput(result, target));
+	const attained = results.filter((result) => isWithinTargets(result, target)).length;
 	const usefulTokens = sum(useful);
 	const complete = count(results, 'complete');
 	return {
--- a/src/core/timeline/hybrid-clock.ts
+++ b/src/core/timeline/hybrid-clock.ts
@@ -21,14 +21,14 @@
 	}
 
 	/** Takes in the time of a message that came. */
-	receive(remote: HybridTime): void {
-		if (compareTimes(remote, this.last) > 0) {
+	merge(remote: HybridTime): void {
+		if (compareHybridTimes(remote, this.last) > 0) {
 			this.last = remote;
 		}
 	}
 }
 
 /** Negative when `a` is before `b`. */
-export function compareTimes(a: HybridTime, b: HybridTime): number {
+export function compareHybridTimes(a: HybridTime, b: HybridTime): number {
 	return a.wall - b.wall || a.counter - b.counter;
 }
--- a/src/core/timeline/timeline-page.ts
+++ b/src/core/timeline/timeline-page.ts
@@ -3,7 +3,7 @@
  * rest.
  * @module
  */
-import * as svg from '../html/svg.js';
+import * as svg from '../html/html.js';
 import type { EventKind, TimelineEvent } from './types.js';
 import { eventKinds } from './types.js';
 
@@ -23,7 +23,7 @@
 }
 
 /** A self-contained page of events that are in causal order. */
-export function timelinePage(events: readonly TimelineEvent[]): string {
+export function renderTimelinePage(events: readonly TimelineEvent[]): string {
 	const begin = events[0]?.time.wall ?? 0;
 	const end = Math.max(events.at(-1)?.time.wall ?? 0, begin + 1);
 	const lanes = [...new Set(events.map((event) => event.vm))].sort();
@@ -46,7 +46,7 @@
 	);
 	const height = layout.top + lanes.length * laneHeight;
 	const seconds = ((end - begin) / 1000).toFixed(1);
-	return svg.page(
+	return svg.renderPage(
 		'Time line',
 		`<p>${events.length} events over ${seconds} s from ${new Date(begin).toISOString()}. Pale: waiting;
 full: running, coloured by tier; ▾: members, configuration, pauses. Hover for details.</p>
--- a/src/core/timeline/timeline.ts
+++ b/src/core/timeline/timeline.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import type { HybridClock } from './hybrid-clock.js';
-import { compareTimes } from './hybrid-clock.js';
+import { compareHybridTimes } from './hybrid-clock.js';
 import type { EventFields, EventKind, TimelineEvent } from './types.js';
 
 export interface TimelineOptions {
@@ -31,7 +31,7 @@
 	}
 
 	/** Events behind `seq`, oldest first. */
-	since(seq: number): TimelineEvent[] {
+	getEventsSince(seq: number): TimelineEvent[] {
 		const first = Math.max(seq + 1, this.seq - this.capacity + 1, 1);
 		const events: TimelineEvent[] = [];
 		for (let at = first; at <= this.seq; at++) {
@@ -48,6 +48,6 @@
 export function mergeTimelines(timelines: readonly (readonly TimelineEvent[])[]): TimelineEvent[] {
 	const all = timelines.flat();
 	return all.sort(
-		(a, b) => compareTimes(a.time, b.time) || a.vm.localeCompare(b.vm) || a.seq - b.seq,
+		(a, b) => compareHybridTimes(a.time, b.time) || a.vm.localeCompare(b.vm) || a.seq - b.seq,
 	);
 }
--- a/src/daemon/daemon-control.ts
+++ b/src/daemon/daemon-control.ts
@@ -86,7 +86,7 @@
 	}
 
 	events(since: number): TimelineEvent[] {
-		return this.daemon.timeline.since(since);
+		return this.daemon.timeline.getEventsSince(since);
 	}
 
 	configuration(): VersionedConfiguration | undefined {
--- a/src/infra/peers/udp-transport.ts
+++ b/src/infra/peers/udp-transport.ts
@@ -137,7 +137,7 @@
 		if (this.opts.isPeerBlocked?.(batch.from)) {
 			return;
 		}
-		this.opts.clock.receive(batch.time);
+		this.opts.clock.merge(batch.time);
 		this.opts.onBatch(batch);
 	}
 }
--- a/test/fuzz/fleet-model.ts
+++ b/test/fuzz/fleet-model.ts
@@ -297,7 +297,7 @@
 	/** Events by kind, to show what a fuzz run has covered. */
 	countEvents(counts: Map<string, number>): void {
 		for (const node of this.nodes) {
-			for (const event of node.timeline.since(0)) {
+			for (const event of node.timeline.getEventsSince(0)) {
 				const key = event.outcome === undefined ? event.kind : `${event.kind} ${event.outcome}`;
 				counts.set(key, (counts.get(key) ?? 0) + 1);
 			}
@@ -306,7 +306,7 @@
 
 	/** Findings of the oracle that reads the time line. */
 	shedForLower(): number {
-		const merged = mergeTimelines(this.nodes.map((node) => node.timeline.since(0)));
+		const merged = mergeTimelines(this.nodes.map((node) => node.timeline.getEventsSince(0)));
 		// A frozen daemon cannot ask for slots: what it gives up later is not held against others.
 		const events = merged.filter(
 			(event) => event.kind !== 'request.shed' || !this.froze.has(event.vm),
--- a/test/steps/relay-log.steps.ts
+++ b/test/steps/relay-log.steps.ts
@@ -10,8 +10,8 @@
 import * as util from 'node:util';
 import * as cucumber from '@cucumber/cucumber';
 import fc from 'fast-check';
-import { parseLine } from '../../src/core/explain/log-line.js';
-import { tellStory } from '../../src/core/explain/story.js';
+import { explainRequest } from '../../src/core/explain/explain-request.js';
+import { parseLogLine } from '../../src/core/explain/log-line.js';
 import { EventSplitter } from '../../src/core/relay/event-splitter.js';
 import { logEvents } from '../../src/core/relay/log-events.js';
 import { seen } from './relay-fakes.js';
@@ -126,7 +126,7 @@
 			`${at(5)} event=request.placed vm=vm-2 request=r2 engine=e2`,
 			'not a log line',
 		];
-		const parsed = lines.map(parseLine).filter((line) => line !== undefined);
+		const parsed = lines.map(parseLogLine).filter((line) => line !== undefined);
 		assert.equal(parsed.length, lines.length - 1);
 		this.seen.set('lines', parsed);
 	},
@@ -150,7 +150,7 @@
 			`${at(21)} event=quarantine.entered vm=vm-3 content=2b1f engines=2 source=news`,
 			`${at(40)} event=request.quarantined vm=vm-3 request=${third} content=2b1f`,
 		];
-		this.seen.set('lines', lines.map(parseLine));
+		this.seen.set('lines', lines.map(parseLogLine));
 	},
 );
 
@@ -172,12 +172,12 @@
 			`${at(1)} ${notice(otherVm, otherEngine)}`,
 			`${at(4)} event=request.ended vm=${vm} request=${request} outcome=refused engines=""`,
 		];
-		this.seen.set('lines', lines.map(parseLine));
+		this.seen.set('lines', lines.map(parseLogLine));
 	},
 );
 
 function storyOf(world: FleetWorld, request: string) {
-	return tellStory(request, seen(world, 'lines'));
+	return explainRequest(request, seen(world, 'lines'));
 }
 
 cucumber.Then(
