--- a/src/cli/config/index.ts
+++ b/src/cli/config/index.ts
@@ -1,5 +1,5 @@
 /**
- * `slategauge config`: check, show, compare and apply the operators' configuration.
+ * `slategauge config`: checks, shows, compares and applies the configuration of the fleet.
  * @module
  */
 import * as fs from 'node:fs/promises';
@@ -27,10 +27,10 @@
 
 const check: yargs.CommandModule<GlobalArgs, FileArgs> = {
 	command: 'check <file>',
-	describe: 'check a configuration file, without a daemon',
+	describe: 'check a configuration file; needs no daemon',
 	builder: fileBuilder,
 	handler: async (args) => {
-		await load(args.file);
+		await loadConfiguration(args.file);
 		process.stdout.write(`${args.file}: no findings\n`);
 	},
 };
@@ -43,18 +43,18 @@
 		if (!current) {
 			throw new errors.UserError(errors.data.NotReady);
 		}
-		const at = new Date(current.at).toISOString();
-		process.stdout.write(`# version ${current.version} by ${current.by} at ${at}\n`);
+		const timestamp = new Date(current.at).toISOString();
+		process.stdout.write(`# version ${current.version} by ${current.by} at ${timestamp}\n`);
 		process.stdout.write(`${smolToml.stringify(current.document)}\n`);
 	},
 };
 
 const diff: yargs.CommandModule<GlobalArgs, FileArgs> = {
 	command: 'diff <file>',
-	describe: 'show what a file would change',
+	describe: 'compare a file with the configuration in force',
 	builder: fileBuilder,
 	handler: async (args) => {
-		const document = await load(args.file);
+		const document = await loadConfiguration(args.file);
 		const current = await new FleetClient(args).client.configuration.query();
 		printDiff(current?.document, document);
 	},
@@ -62,15 +62,23 @@
 
 const apply: yargs.CommandModule<GlobalArgs, ApplyArgs> = {
 	command: 'apply <file>',
-	describe: 'put a configuration in force over the whole fleet',
+	describe: 'apply a configuration to the whole fleet',
 	builder: (args) =>
 		fileBuilder(args)
-			.option('base', { type: 'number', describe: 'version that the change builds on' })
-			.option('by', { type: 'string', default: os.userInfo().username, describe: 'your name' })
-			.option('dry-run', { type: 'boolean', default: false, describe: 'only show the change' }),
+			.option('base', { type: 'number', describe: 'version that the file is based on' })
+			.option('by', {
+				type: 'string',
+				default: os.userInfo().username,
+				describe: 'author recorded with the change',
+			})
+			.option('dry-run', {
+				type: 'boolean',
+				default: false,
+				describe: 'show the changes without applying them',
+			}),
 
 	handler: async (args) => {
-		const document = await load(args.file);
+		const document = await loadConfiguration(args.file);
 		const fleet = new FleetClient(args);
 		const current = await fleet.client.configuration.query();
 		printDiff(current?.document, document);
@@ -102,7 +110,7 @@
 	return args.positional('file', { type: 'string', demandOption: true });
 }
 
-async function load(file: string): Promise<Configuration> {
+async function loadConfiguration(file: string): Promise<Configuration> {
 	let text: string;
 	try {
 		text = await fs.readFile(file, 'utf8');
--- a/src/cli/exit-codes.ts
+++ b/src/cli/exit-codes.ts
@@ -1,17 +1,17 @@
 /**
- * Exit codes of the command-line tool; documented in docs/OPERATORS.md.
+ * Exit codes of the command-line tool, documented in docs/OPERATORS.md. Codes from 64 follow sysexits.h.
  * @module
  */
 export const exitCodes = {
 	ok: 0,
-	/** The command was understood and failed. */
+	/** The command is valid but failed. */
 	failed: 1,
-	/** Some VMs did not answer. */
+	/** Some VMs did not respond. */
 	partial: 2,
-	/** The command line cannot be read. */
+	/** The command line is invalid. */
 	usage: 64,
 	/** A file cannot be read. */
 	unreadable: 66,
-	/** A file has findings. */
+	/** A file is invalid. */
 	configuration: 78,
 } as const;
--- a/src/cli/explain/index.ts
+++ b/src/cli/explain/index.ts
@@ -1,5 +1,5 @@
 /**
- * `slategauge explain`: the story of one request from logs, without a running fleet.
+ * `slategauge explain`: reconstructs the history of one request from logs, without a running fleet.
  * @module
  */
 import type * as yargs from 'yargs';
@@ -16,20 +16,24 @@
 
 export const explainCommand: yargs.CommandModule<GlobalArgs, ExplainArgs> = {
 	command: 'explain <request> [files..]',
-	describe: 'tell what happened to a request, from logs of any VMs (files or standard input)',
+	describe: 'show what happened to a request, from the logs of any VMs (files or standard input)',
 	builder: (args) =>
 		args
 			.positional('request', { type: 'string', demandOption: true, describe: 'id of the request' })
-			.positional('files', { type: 'string', array: true, describe: 'logs, lines in any order' }),
+			.positional('files', {
+				type: 'string',
+				array: true,
+				describe: 'log files; lines may be in any order',
+			}),
 	handler: async (args) => {
 		const lines = await readLogs(args.files ?? []);
-		const story = explainRequest(args.request, lines);
-		for (const line of story.lines) {
+		const explanation = explainRequest(args.request, lines);
+		for (const line of explanation.lines) {
 			process.stdout.write(`${formatFields(Object.fromEntries(line))}\n`);
 		}
-		for (const gap of story.gaps) {
-			process.stdout.write(`not told: ${gap}\n`);
+		for (const gap of explanation.gaps) {
+			process.stdout.write(`missing: ${gap}\n`);
 		}
-		process.exitCode = story.lines.length > 0 ? exitCodes.ok : exitCodes.failed;
+		process.exitCode = explanation.lines.length > 0 ? exitCodes.ok : exitCodes.failed;
 	},
 };
--- a/src/cli/find/index.ts
+++ b/src/cli/find/index.ts
@@ -1,5 +1,5 @@
 /**
- * `slategauge find`: requests in logs by what became of them; `explain` tells the story of one.
+ * `slategauge find`: searches logs for requests by time, engine, route, VM, outcome and duration.
  * @module
  */
 import type * as yargs from 'yargs';
@@ -22,21 +22,28 @@
 
 export const findCommand: yargs.CommandModule<GlobalArgs, FindArgs> = {
 	command: 'find [files..]',
-	describe: 'find requests in logs of any VMs (files or standard input) by what became of them',
+	describe: 'find requests in the logs of any VMs (files or standard input)',
 	builder: (args) =>
 		args
-			.positional('files', { type: 'string', array: true, describe: 'logs, lines in any order' })
-			.option('from', { type: 'string', describe: 'ended at this time or later (ISO 8601)' })
+			.positional('files', {
+				type: 'string',
+				array: true,
+				describe: 'log files; lines may be in any order',
+			})
+			.option('from', { type: 'string', describe: 'ended at or after this time (ISO 8601)' })
 			.option('to', { type: 'string', describe: 'ended before this time (ISO 8601)' })
-			.option('engine', { type: 'string', describe: 'was sent to this engine' })
+			.option('engine', { type: 'string', describe: 'sent to this engine' })
 			.option('route', { type: 'string' })
 			.option('vm', { type: 'string' })
-			.option('outcome', { type: 'string', describe: 'as in docs/LOGS.md, or denied, quarantined' })
-			.option('took', { type: 'number', describe: 'took at least so many milliseconds' })
-			.check(({ from, to }) => isTime(from) && isTime(to)),
+			.option('outcome', {
+				type: 'string',
+				describe: 'outcome listed in docs/LOGS.md, or denied, quarantined',
+			})
+			.option('took', { type: 'number', describe: 'minimum duration in milliseconds' })
+			.check(({ from, to }) => assertTime(from) && assertTime(to)),
 	handler: async (args) => {
 		const { engine, route, vm, outcome, took } = args;
-		const times = { from: millisecondsOf(args.from), to: millisecondsOf(args.to) };
+		const times = { from: parseTime(args.from), to: parseTime(args.to) };
 		const lines = await readLogs(args.files ?? []);
 		const found = findRequests(lines, {
 			...times,
@@ -57,12 +64,12 @@
 	},
 };
 
-function millisecondsOf(time: string | undefined): number | undefined {
+function parseTime(time: string | undefined): number | undefined {
 	return time === undefined ? undefined : Date.parse(time);
 }
 
-/** @throws Error when the text is no time */
-function isTime(time: string | undefined): true {
+/** @throws Error if the text is not a valid time */
+function assertTime(time: string | undefined): true {
 	if (time !== undefined && Number.isNaN(Date.parse(time))) {
 		throw new Error(`not a time: ${time}`);
 	}
--- a/src/cli/hash-token/index.ts
+++ b/src/cli/hash-token/index.ts
@@ -1,5 +1,5 @@
 /**
- * `slategauge hash-token`: the form in which a key is kept in the configuration.
+ * `slategauge hash-token`: hashes a key for the configuration, which stores no plain keys.
  * @module
  */
 import * as readline from 'node:readline/promises';
--- a/src/cli/log-files.ts
+++ b/src/cli/log-files.ts
@@ -1,5 +1,5 @@
 /**
- * Reads logs of any VMs for the commands that need no running fleet.
+ * Reads log files for the commands that work without a running fleet.
  * @module
  */
 import * as fs from 'node:fs';
@@ -7,7 +7,10 @@
 import type { LogLine } from '../core/explain/log-line.js';
 import { parseLogLine } from '../core/explain/log-line.js';
 
-/** @param files standard input when empty */
+/**
+ * Skips lines that are not log events.
+ * @param files reads standard input if empty
+ */
 export async function readLogs(files: readonly string[]): Promise<LogLine[]> {
 	const inputs =
 		files.length > 0 ? files.map((file) => fs.createReadStream(file)) : [process.stdin];
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `slategauge`: the command-line tool.
+ * Entry point of `slategauge`, the operators' command-line tool.
  * @module
  */
 import yargs from 'yargs';
@@ -19,7 +19,7 @@
 
 await yargs(hideBin(process.argv))
 	.scriptName('slategauge')
-	.usage('$0 COMMAND\n\nAsks and steers a running fleet, through any of its daemons.')
+	.usage('$0 COMMAND\n\nInspects and controls a running fleet through any of its daemons.')
 	.env('SLATEGAUGE')
 	.option('daemon', {
 		type: 'string',
@@ -30,7 +30,7 @@
 	.option('token', {
 		type: 'string',
 		default: '',
-		describe: 'operator token (better as SLATEGAUGE_TOKEN)',
+		describe: 'operator token (preferably set as SLATEGAUGE_TOKEN)',
 		global: true,
 	})
 	.command(queryCommand)
@@ -45,7 +45,7 @@
 	.command(reportCommand)
 	.command(hashTokenCommand)
 	.strict()
-	.completion('completion', 'print a script for shell completion')
+	.completion('completion', 'print a shell completion script')
 	.fail((message, err) => {
 		process.stderr.write(`${err ? describeError(err) : message}\n`);
 		process.exit(err ? exitCodes.failed : exitCodes.usage);
--- a/src/cli/query/index.ts
+++ b/src/cli/query/index.ts
@@ -1,5 +1,5 @@
 /**
- * `slategauge '…'` and `slategauge run FILE`: the query and command language.
+ * `slategauge '…'` and `slategauge run FILE`: run statements of the query and command language.
  * @module
  */
 import * as fs from 'node:fs/promises';
@@ -17,16 +17,24 @@
 	by: string;
 }
 
-/** Options that every form of the language has. */
+/** Adds the options that all commands of the query language share. */
 export function addQueryOptions(args: yargs.Argv<GlobalArgs>) {
 	return args
 		.option('output', {
 			choices: outputFormats,
 			default: 'table' as OutputFormat,
-			describe: 'form of output',
+			describe: 'output format',
 		})
-		.option('dry-run', { type: 'boolean', default: false, describe: 'change nothing, show it' })
-		.option('by', { type: 'string', default: os.userInfo().username, describe: 'your name' });
+		.option('dry-run', {
+			type: 'boolean',
+			default: false,
+			describe: 'show the changes without applying them',
+		})
+		.option('by', {
+			type: 'string',
+			default: os.userInfo().username,
+			describe: 'author recorded with a change',
+		});
 }
 
 export function toRunOptions(args: QueryArgs): RunOptions {
@@ -35,7 +43,7 @@
 
 export const queryCommand: yargs.CommandModule<GlobalArgs, QueryArgs & { text: string[] }> = {
 	command: '$0 <text..>',
-	describe: 'one line of the query and command language, such as "show requests where late = true"',
+	describe: 'run one statement, such as "show requests where late = true"',
 	builder: (args) =>
 		addQueryOptions(args).positional('text', { type: 'string', array: true, demandOption: true }),
 	handler: async (args) => {
@@ -49,7 +57,7 @@
 
 export const runCommand: yargs.CommandModule<GlobalArgs, QueryArgs & { file: string }> = {
 	command: 'run <file>',
-	describe: 'the lines of a file, until one fails; # starts a comment',
+	describe: 'run the statements of a file, one per line, until one fails; # starts a comment',
 	builder: (args) =>
 		addQueryOptions(args).positional('file', { type: 'string', demandOption: true }),
 	handler: async (args) => {
--- a/src/cli/query/run-line.ts
+++ b/src/cli/query/run-line.ts
@@ -1,8 +1,7 @@
 /**
- * Runs one line of the query and command language and prints what came of it.
+ * Runs one line of the query and command language and prints the result.
  * @module
  */
-
 import { diffConfigurations } from '../../core/configuration/diff.js';
 import * as errors from '../../core/errors/index.js';
 import { applyCommand } from '../../core/query/apply-command.js';
@@ -23,7 +22,6 @@
 import type { FleetClient } from '../fleet-client.js';
 import { readSource, sourceFields } from './sources.js';
 
-/** Forms of output. */
 export const outputFormats = ['table', 'json', 'kv'] as const;
 export type OutputFormat = (typeof outputFormats)[number];
 
@@ -37,18 +35,18 @@
 export async function runLine(fleet: FleetClient, line: string, opts: RunOptions): Promise<number> {
 	const parsed = await parseStatement(line);
 	if ('error' in parsed) {
-		return complain(line, parsed.error);
+		return printError(line, parsed.error);
 	}
 	const { statement } = parsed;
 	if (statement.kind === 'order') {
-		return order(fleet, statement, opts);
+		return runOrder(fleet, statement, opts);
 	}
 	return statement.kind === 'show'
-		? show(fleet, line, statement, opts)
-		: command(fleet, line, statement, opts);
+		? runQuery(fleet, line, statement, opts)
+		: runChange(fleet, line, statement, opts);
 }
 
-async function show(
+async function runQuery(
 	fleet: FleetClient,
 	line: string,
 	query: Query,
@@ -57,9 +55,9 @@
 	const { rows, missing } = await readSource(fleet, query.source);
 	const result = evaluateQuery(query, rows, sourceFields[query.source]);
 	if ('error' in result) {
-		return complain(line, result.error);
+		return printError(line, result.error);
 	}
-	process.stdout.write(`${format(result.rows, opts.output)}\n`);
+	process.stdout.write(`${formatRows(result.rows, opts.output)}\n`);
 	if (missing.length > 0) {
 		process.stderr.write(`no answer from: ${missing.join(', ')}\n`);
 		return exitCodes.partial;
@@ -67,23 +65,23 @@
 	return exitCodes.ok;
 }
 
-async function order(
+async function runOrder(
 	fleet: FleetClient,
 	statement: OrderCommand,
 	opts: RunOptions,
 ): Promise<number> {
-	const what = `${statement.order} ${statement.argument}`.trim();
+	const description = `${statement.order} ${statement.argument}`.trim();
 	if (opts.dryRun) {
-		process.stdout.write(`would order ${statement.endpoint}: ${what}\n`);
+		process.stdout.write(`would order ${statement.endpoint}: ${description}\n`);
 		return exitCodes.ok;
 	}
 	const { endpoint, order: kind, argument } = statement;
 	const token = await fleet.longTimeoutClient.order.mutate({ endpoint, kind, argument });
-	process.stdout.write(`${endpoint} took ${what}, fencing token ${token}\n`);
+	process.stdout.write(`${endpoint} took ${description}, fencing token ${token}\n`);
 	return exitCodes.ok;
 }
 
-async function command(
+async function runChange(
 	fleet: FleetClient,
 	line: string,
 	statement: SetCommand | DrainCommand,
@@ -95,7 +93,7 @@
 	}
 	const changed = applyCommand(current.document, statement);
 	if ('error' in changed) {
-		return complain(line, changed.error);
+		return printError(line, changed.error);
 	}
 	const lines = diffConfigurations(current.document, changed.document);
 	process.stdout.write(`${lines.length === 0 ? 'no change' : lines.join('\n')}\n`);
@@ -112,14 +110,14 @@
 	return waitUntilApplied(fleet, accepted.version);
 }
 
-function complain(line: string, error: QueryError): number {
+function printError(line: string, error: QueryError): number {
 	const hint = error.suggestion === undefined ? '' : ` - did you mean ${error.suggestion}?`;
 	const pointer = `${' '.repeat(error.column - 1)}^`;
 	process.stderr.write(`${line}\n${pointer}\ncolumn ${error.column}: ${error.message}${hint}\n`);
 	return exitCodes.usage;
 }
 
-function format(rows: readonly Row[], output: OutputFormat): string {
+function formatRows(rows: readonly Row[], output: OutputFormat): string {
 	if (output === 'json') {
 		return JSON.stringify(rows);
 	}
--- a/src/cli/query/sources.ts
+++ b/src/cli/query/sources.ts
@@ -1,12 +1,12 @@
 /**
- * Rows that questions are asked of, from the whole fleet.
+ * Reads the rows of a query's source from all daemons of the fleet.
  * @module
  */
 import type { Row, Source, Value } from '../../core/query/types.js';
 import type { ControlClient } from '../../infra/control/control-client.js';
 import type { FleetAnswers, FleetClient } from '../fleet-client.js';
 
-/** Fields of each source, in the order in which they are shown. */
+/** Fields of each source, in output order. */
 export const sourceFields: Record<Source, string[]> = {
 	requests: [
 		'id',
@@ -36,7 +36,7 @@
 	customers: ['name', 'default_class', 'weight'],
 };
 
-/** Rows, and the VMs that did not answer. */
+/** Rows, and the VMs that did not respond. */
 export interface SourceRows {
 	rows: Row[];
 	missing: string[];
@@ -46,20 +46,20 @@
 	if (source === 'classes' || source === 'customers') {
 		const current = await fleet.client.configuration.query();
 		const items = (current?.document[source] ?? []) as unknown as Row[];
-		return { rows: items.map((item) => pick(item, sourceFields[source])), missing: [] };
+		return { rows: items.map((item) => pickFields(item, sourceFields[source])), missing: [] };
 	}
-	const asks: Record<Exclude<Source, 'classes' | 'customers'>, Ask> = {
+	const readers: Record<Exclude<Source, 'classes' | 'customers'>, RowReader> = {
 		requests: (client) => client.requests.query() as unknown as Promise<Row[]>,
 		endpoints: (client) => client.endpoints.query() as unknown as Promise<Row[]>,
 		shed: readShed,
 		vms: readVm,
 	};
-	const answer: FleetAnswers<Row[]> = await fleet.queryAll(asks[source]);
-	const rows = answer.answers.flatMap(({ value }) => value);
-	return { rows, missing: answer.missing };
+	const result: FleetAnswers<Row[]> = await fleet.queryAll(readers[source]);
+	const rows = result.answers.flatMap(({ value }) => value);
+	return { rows, missing: result.missing };
 }
 
-type Ask = (client: ControlClient) => Promise<Row[]>;
+type RowReader = (client: ControlClient) => Promise<Row[]>;
 
 async function readShed(client: ControlClient): Promise<Row[]> {
 	const events = await client.events.query({ since: 0 });
@@ -79,10 +79,10 @@
 async function readVm(client: ControlClient): Promise<Row[]> {
 	const status = await client.status.query();
 	const row = { ...status, configuration: status.configuration_version } as unknown as Row;
-	return [pick(row, sourceFields.vms)];
+	return [pickFields(row, sourceFields.vms)];
 }
 
-function pick(row: Row, fields: readonly string[]): Row {
+function pickFields(row: Row, fields: readonly string[]): Row {
 	const entries = fields.map((field) => [field, row[field] ?? ''] as [string, Value]);
 	return Object.fromEntries(entries);
 }
--- a/src/cli/replay/index.ts
+++ b/src/cli/replay/index.ts
@@ -1,5 +1,5 @@
 /**
- * `slategauge replay`: sends a recorded trace against a running system and judges the outcomes.
+ * `slategauge replay`: replays a recorded trace against a running system and checks the outcomes.
  * @module
  */
 import * as fs from 'node:fs/promises';
@@ -23,27 +23,38 @@
 	results?: string;
 }
 
-const barWidth = 40;
+const progressBarWidth = 40;
 
 export const replayCommand: yargs.CommandModule<GlobalArgs, ReplayArgs> = {
 	command: 'replay <trace>',
-	describe: 'send a recorded trace against a running system and judge the outcomes',
+	describe: 'replay a recorded trace against a running system and check the outcomes',
 	builder: (args) =>
 		args
-			.positional('trace', { type: 'string', demandOption: true, describe: 'JSON lines' })
+			.positional('trace', {
+				type: 'string',
+				demandOption: true,
+				describe: 'trace file (JSON lines)',
+			})
 			.option('to', {
 				type: 'string',
 				array: true,
 				demandOption: true,
-				describe: "callers' base URLs, used in turn",
+				describe: 'base URLs to send requests to, round-robin',
 			})
 			.option('keys', {
 				type: 'string',
 				demandOption: true,
-				describe: 'JSON file: bearer key of each customer',
+				describe: 'JSON file with the bearer key of each customer',
+			})
+			.option('results', {
+				type: 'string',
+				describe: 'write the results to this file, for `report`',
 			})
-			.option('results', { type: 'string', describe: 'file for the results, for `report`' })
-			.option('timeout', { type: 'number', default: 120, describe: 'longest wait in seconds' }),
+			.option('timeout', {
+				type: 'number',
+				default: 120,
+				describe: 'timeout of a request in seconds',
+			}),
 
 	handler: async (args) => {
 		const trace = await readTrace(args.trace);
@@ -53,7 +64,7 @@
 			daemonUrls: args.to,
 			keys: keys as Map<string, string>,
 			timeoutMs: args.timeout * 1000,
-			onResult: (_result, done, total) => drawBar(done, total),
+			onResult: (_result, done, total) => drawProgressBar(done, total),
 		});
 		const results = await client.replay(trace);
 		const durationS = Math.max((trace.at(-1)?.at_ms ?? 0) / 1000, 1);
@@ -78,7 +89,7 @@
 		if (line === '') {
 			continue;
 		}
-		const parsed = readLine(line);
+		const parsed = parseTraceLine(line);
 		if (parsed.value) {
 			trace.push(parsed.value);
 		} else {
@@ -92,7 +103,7 @@
 	return trace;
 }
 
-function readLine(line: string): { value?: TraceRequest; message: string } {
+function parseTraceLine(line: string): { value?: TraceRequest; message: string } {
 	try {
 		const parsed = traceRequestSchema.safeParse(JSON.parse(line));
 		const message = parsed.error?.issues
@@ -104,11 +115,11 @@
 	}
 }
 
-function drawBar(done: number, total: number): void {
+function drawProgressBar(done: number, total: number): void {
 	if (!process.stderr.isTTY) {
 		return;
 	}
-	const filled = Math.round((barWidth * done) / total);
-	const bar = '#'.repeat(filled).padEnd(barWidth, '.');
+	const filled = Math.round((progressBarWidth * done) / total);
+	const bar = '#'.repeat(filled).padEnd(progressBarWidth, '.');
 	process.stderr.write(`\r[${bar}] ${done}/${total}${done === total ? '\n' : ''}`);
 }
--- a/src/cli/replay/targets.ts
+++ b/src/cli/replay/targets.ts
@@ -1,5 +1,5 @@
 /**
- * Targets of the classes, from the configuration in force.
+ * Reads the latency targets of all classes from the configuration in force.
  * @module
  */
 import type { ClassTargets } from '../../core/replay/types.js';
--- a/src/cli/report/index.ts
+++ b/src/cli/report/index.ts
@@ -1,5 +1,5 @@
 /**
- * `slategauge report`: a replay's results as a page with plots.
+ * `slategauge report`: renders the results of a replay as an HTML page with charts.
  * @module
  */
 import * as fs from 'node:fs/promises';
@@ -18,11 +18,15 @@
 
 export const reportCommand: yargs.CommandModule<GlobalArgs, ReportArgs> = {
 	command: 'report <results>',
-	describe: 'make a page of the results that `replay --results` wrote',
+	describe: 'render the results of `replay --results` as an HTML page',
 	builder: (args) =>
 		args
-			.positional('results', { type: 'string', demandOption: true, describe: 'JSON lines' })
-			.option('out', { type: 'string', demandOption: true, describe: 'HTML file' })
+			.positional('results', {
+				type: 'string',
+				demandOption: true,
+				describe: 'results file (JSON lines)',
+			})
+			.option('out', { type: 'string', demandOption: true, describe: 'HTML file to write' })
 			.option('title', { type: 'string', default: 'Replay', describe: 'title of the page' }),
 	handler: async (args) => {
 		const lines = (await fs.readFile(args.results, 'utf8')).split('\n');
--- a/src/cli/shell/index.ts
+++ b/src/cli/shell/index.ts
@@ -1,5 +1,5 @@
 /**
- * `slategauge shell`: the query and command language with history and completion.
+ * `slategauge shell`: interactive shell for the query and command language.
  * @module
  */
 import * as readline from 'node:readline';
@@ -12,11 +12,21 @@
 import { sourceFields } from '../query/sources.js';
 import type { GlobalArgs } from '../types.js';
 
-const clauses = ['show', 'set', 'drain', 'undrain', 'where', 'and', 'group by', 'sort by', 'limit'];
+const keywords = [
+	'show',
+	'set',
+	'drain',
+	'undrain',
+	'where',
+	'and',
+	'group by',
+	'sort by',
+	'limit',
+];
 
 export const shellCommand: yargs.CommandModule<GlobalArgs, QueryArgs> = {
 	command: 'shell',
-	describe: 'the language line by line, with history and completion',
+	describe: 'start an interactive shell with history and completion',
 	builder: addQueryOptions,
 	handler: async (args) => {
 		const fleet = new FleetClient(args);
@@ -32,7 +42,7 @@
 				break;
 			}
 			if (line.trim() !== '') {
-				await runSafely(fleet, line, args);
+				await runAndPrintErrors(fleet, line, args);
 			}
 			shell.prompt();
 		}
@@ -40,8 +50,8 @@
 	},
 };
 
-/** A failed line does not end the shell. */
-async function runSafely(fleet: FleetClient, line: string, args: QueryArgs): Promise<void> {
+/** Prints errors, so that a failed statement does not end the shell. */
+async function runAndPrintErrors(fleet: FleetClient, line: string, args: QueryArgs): Promise<void> {
 	try {
 		process.exitCode = await runLine(fleet, line, toRunOptions(args));
 	} catch (err) {
@@ -49,14 +59,17 @@
 	}
 }
 
-/** Words that may come next: fields of the source that was named, else words of the language. */
+/**
+ * Completes the last word: with the source's fields if the line names a source, else with keywords, sources and subjects.
+ * Returns the pair that `readline` expects.
+ */
 export function completeLine(line: string): [string[], string] {
 	const words = line.split(/\s+/);
-	const last = words.at(-1) ?? '';
-	const source = Object.values(sources).find((known) => words.slice(0, -1).includes(known));
-	const known = source
-		? [...sourceFields[source], ...clauses.slice(4)]
-		: [...clauses, ...Object.values(sources), ...Object.values(subjects)];
-	const hits = known.filter((word) => word.startsWith(last));
-	return [hits.length > 0 ? hits : known, last];
+	const prefix = words.at(-1) ?? '';
+	const source = Object.values(sources).find((name) => words.slice(0, -1).includes(name));
+	const candidates = source
+		? [...sourceFields[source], ...keywords.slice(4)]
+		: [...keywords, ...Object.values(sources), ...Object.values(subjects)];
+	const matches = candidates.filter((word) => word.startsWith(prefix));
+	return [matches.length > 0 ? matches : candidates, prefix];
 }
--- a/src/cli/status/index.ts
+++ b/src/cli/status/index.ts
@@ -1,5 +1,5 @@
 /**
- * `slategauge status`: the state of every daemon.
+ * `slategauge status`: prints the state of every daemon.
  * @module
  */
 import type * as yargs from 'yargs';
@@ -10,7 +10,7 @@
 
 export const statusCommand: yargs.CommandModule<GlobalArgs, GlobalArgs> = {
 	command: 'status',
-	describe: 'show every daemon: readiness, configuration version, queue, cost',
+	describe: 'show the readiness, configuration version, queue and resource use of every daemon',
 	handler: async (args) => {
 		const fleet = new FleetClient(args);
 		const { answers, missing } = await fleet.queryAll((client) => client.status.query());
--- a/src/cli/timeline/index.ts
+++ b/src/cli/timeline/index.ts
@@ -1,5 +1,5 @@
 /**
- * `slategauge timeline`: events of all daemons in causal order.
+ * `slategauge timeline`: prints the events of all daemons in causal order.
  * @module
  */
 import * as fs from 'node:fs/promises';
@@ -21,8 +21,8 @@
 	limit: number;
 }
 
-/** Time between two looks with --follow, in milliseconds. */
-const followMs = 500;
+/** Polling interval of --follow. */
+const pollIntervalMs = 500;
 
 export const timelineCommand: yargs.CommandModule<GlobalArgs, TimelineArgs> = {
 	command: 'timeline',
@@ -32,21 +32,29 @@
 			.option('request', { type: 'string', describe: 'only this request' })
 			.option('endpoint', { type: 'string', describe: 'only this endpoint' })
 			.option('class', { type: 'string', describe: 'only this class' })
-			.option('limit', { type: 'number', default: 200, describe: 'newest events shown' })
-			.option('html', { type: 'string', describe: 'write a page with a lane for each process' })
-			.option('follow', { type: 'boolean', default: false, describe: 'go on until interrupted' }),
+			.option('limit', {
+				type: 'number',
+				default: 200,
+				describe: 'maximum number of events, newest kept',
+			})
+			.option('html', { type: 'string', describe: 'write an HTML page with a lane per process' })
+			.option('follow', {
+				type: 'boolean',
+				default: false,
+				describe: 'keep printing new events until interrupted',
+			}),
 	handler: async (args) => {
 		const fleet = new FleetClient(args);
-		const seen = new Map<string, number>();
+		const lastSeqByVm = new Map<string, number>();
 		do {
 			const { answers, missing } = await fleet.queryAll(async (client) => {
 				const { vm } = await client.status.query();
-				return client.events.query({ since: seen.get(vm) ?? 0 });
+				return client.events.query({ since: lastSeqByVm.get(vm) ?? 0 });
 			});
 			for (const { vm, value } of answers) {
-				seen.set(vm, value.at(-1)?.seq ?? seen.get(vm) ?? 0);
+				lastSeqByVm.set(vm, value.at(-1)?.seq ?? lastSeqByVm.get(vm) ?? 0);
 			}
-			await print(
+			await printEvents(
 				answers.map(({ value }) => value as TimelineEvent[]),
 				args,
 			);
@@ -54,12 +62,12 @@
 				process.stderr.write(`no answer from: ${missing.join(', ')}\n`);
 				process.exitCode = exitCodes.partial;
 			}
-			await new Promise((wake) => setTimeout(wake, args.follow ? followMs : 0));
+			await new Promise((resolve) => setTimeout(resolve, args.follow ? pollIntervalMs : 0));
 		} while (args.follow);
 	},
 };
 
-async function print(timelines: TimelineEvent[][], args: TimelineArgs): Promise<void> {
+async function printEvents(timelines: TimelineEvent[][], args: TimelineArgs): Promise<void> {
 	const merged = mergeTimelines(timelines).filter((event) => matches(event, args));
 	if (args.html !== undefined) {
 		await fs.writeFile(args.html, renderTimelinePage(merged));
--- a/src/cli/types.ts
+++ b/src/cli/types.ts
@@ -1,7 +1,7 @@
-/** Options that every command has. */
+/** Options of every command. */
 export interface GlobalArgs {
 	/** Control address of a daemon, `IP:port`. */
 	daemon: string;
-	/** Operator's token. */
+	/** Operator token. */
 	token: string;
 }
--- a/src/core/explain/explain-request.ts
+++ b/src/core/explain/explain-request.ts
@@ -1,14 +1,14 @@
 /**
- * Tells what happened to one request from the logs of all VMs: its own lines in order, what its VM believed about its engines and
- * the store shortly before, and what became of the same content under other ids.
+ * Reconstructs the history of a request from the logs of all VMs: its own lines, events that changed its VM's view of the engines
+ * and the store shortly before, and lines of other requests with the same content.
  * @module
  */
 import type { LogLine } from './log-line.js';
 
-/** Beliefs are told from so long before the request, in milliseconds: a closed engine stays closed for 4 s at most. */
-const beforeMs = 5000;
-/** Events that change what a VM believes. */
-const beliefEvents: ReadonlySet<string> = new Set([
+/** Context is included from this long before the request; a circuit breaker stays open for a shorter time. */
+const lookbackMs = 5000;
+/** Events that give context: changes in a VM's view of engines, store, peers and configuration, restarts, and dropped log lines. */
+const contextEvents: ReadonlySet<string> = new Set([
 	'engine.closed',
 	'engine.notice',
 	'engine.limit',
@@ -30,18 +30,23 @@
 	'log.dropped',
 ]);
 
-/** Events that end a request, and those that tell where it was sent or that it was sent nowhere. */
+/** Events that end a request. */
 const endEvents: readonly string[] = ['request.ended', 'request.denied', 'request.quarantined'];
-const placeEvents: readonly string[] = ['request.placed', 'request.denied', 'request.quarantined'];
+/** Events that record where a request was sent, or why it was not sent. */
+const routingEvents: readonly string[] = [
+	'request.placed',
+	'request.denied',
+	'request.quarantined',
+];
 
 export interface RequestExplanation {
-	/** Lines about the request and what was believed, by time. */
+	/** Lines of the request and its context, sorted by time. */
 	lines: LogLine[];
-	/** What the logs do not tell. */
+	/** Information that is missing from the logs. */
 	gaps: string[];
 }
 
-/** @param lines of all VMs, in any order */
+/** @param lines log lines of all VMs, in any order */
 export function explainRequest(request: string, lines: readonly LogLine[]): RequestExplanation {
 	const own = lines.filter((line) => line.get('request') === request);
 	if (own.length === 0) {
@@ -50,29 +55,35 @@
 	const vms = new Set(own.map((line) => line.get('vm')));
 	const engines = new Set(own.map((line) => line.get('engine')).filter(Boolean));
 	const times = own.map(timeOf);
-	const from = Math.min(...times) - beforeMs;
+	const from = Math.min(...times) - lookbackMs;
 	const to = Math.max(...times);
-	const beliefs = lines.filter((line) => {
-		const about = line.get('engine');
-		// What was sent to no engine may have been refused for what any of them said.
-		const concerns = about === undefined || engines.size === 0 || engines.has(about);
+	const context = lines.filter((line) => {
+		const engine = line.get('engine');
+		// A request that was sent to no engine may have been refused because of the state of any of them.
+		const isRelevant = engine === undefined || engines.size === 0 || engines.has(engine);
 		const isOwn = line.get('request') === request;
-		const at = timeOf(line);
+		const time = timeOf(line);
 		return (
-			!isOwn && concerns && vms.has(line.get('vm')) && isBelief(line) && at >= from && at <= to
+			!isOwn &&
+			isRelevant &&
+			vms.has(line.get('vm')) &&
+			isContextEvent(line) &&
+			time >= from &&
+			time <= to
 		);
 	});
-	const told = [...own, ...beliefs, ...aboutContent(own, lines, to)].sort(
+	const explained = [...own, ...context, ...findSameContent(own, lines, to)].sort(
 		(a, b) => timeOf(a) - timeOf(b),
 	);
-	return { lines: told, gaps: gapsOf(own, beliefs) };
+	return { lines: explained, gaps: findGaps(own, context) };
 }
 
-/**
- * Engines that broke off the same content under other ids, and why it is kept from them: on whatever VM, and however long
- * before.
- */
-function aboutContent(own: readonly LogLine[], lines: readonly LogLine[], to: number): LogLine[] {
+/** Finds earlier lines of any VM that concern the same content under other request ids, such as its quarantine. */
+function findSameContent(
+	own: readonly LogLine[],
+	lines: readonly LogLine[],
+	to: number,
+): LogLine[] {
 	const content = own.map((line) => line.get('content')).find(Boolean);
 	if (content === undefined) {
 		return [];
@@ -81,21 +92,25 @@
 	return others.filter((line) => line.get('event') !== 'request.quarantined' && timeOf(line) <= to);
 }
 
-function isBelief(line: LogLine): boolean {
-	return beliefEvents.has(line.get('event') ?? '');
+function isContextEvent(line: LogLine): boolean {
+	return contextEvents.has(line.get('event') ?? '');
 }
 
-function gapsOf(own: readonly LogLine[], beliefs: readonly LogLine[]): string[] {
+function findGaps(own: readonly LogLine[], context: readonly LogLine[]): string[] {
 	const gaps: string[] = [];
 	const events = new Set(own.map((line) => line.get('event')));
 	if (!endEvents.some((event) => events.has(event))) {
-		gaps.push('no line tells its end: it is under way, its VM died, or the line was left out');
+		gaps.push(
+			'no line records its end: it is still running, its VM crashed, or the line was dropped',
+		);
 	}
-	if (!placeEvents.some((event) => events.has(event))) {
-		gaps.push('no line tells where it was sent: it was refused before, or the line was left out');
+	if (!routingEvents.some((event) => events.has(event))) {
+		gaps.push(
+			'no line records where it was sent: it was refused before routing, or the line was dropped',
+		);
 	}
-	if (beliefs.some((line) => line.get('event')?.startsWith('log.'))) {
-		gaps.push('its VM left out lines at that time');
+	if (context.some((line) => line.get('event')?.startsWith('log.'))) {
+		gaps.push('its VM dropped or thinned out log lines at that time');
 	}
 	return gaps;
 }
--- a/src/core/explain/find-requests.ts
+++ b/src/core/explain/find-requests.ts
@@ -1,42 +1,41 @@
 /**
- * Finds requests in the logs of all VMs by what became of them.
+ * Searches logs for requests by time, engine, route, VM, outcome and duration.
  * @module
  */
 import type { LogLine } from './log-line.js';
 
-/** What is asked for; what is left out is not asked. */
+/** Criteria that all have to match; omitted ones match every request. */
 export interface RequestFilter {
-	/** Requests that ended or were denied from this time on, in milliseconds since 1970. */
+	/** Earliest end or denial, inclusive, in milliseconds since the Unix epoch. */
 	from?: number;
-	/** And before this time. */
+	/** Latest end or denial, exclusive, in milliseconds since the Unix epoch. */
 	to?: number;
-	/** An engine that bytes of the request were sent to. */
+	/** An engine that received bytes of the request. */
 	engine?: string;
 	route?: string;
 	vm?: string;
-	/** How it ended, as `request.ended` tells it; else one of `otherOutcomes`. */
+	/** Outcome logged by `request.ended`, or a value of `outcomesByEvent`. */
 	outcome?: string;
-	/** Those that took at least so long, in milliseconds. */
 	minDurationMs?: number;
 }
 
-/** Ends that `request.ended` does not tell: no route or key allows it, or its content crashed engines. */
-const otherOutcomes: Readonly<Record<string, string>> = {
+/** Outcomes of requests that end without `request.ended`: no route or key allows them, or their content crashed engines. */
+const outcomesByEvent: Readonly<Record<string, string>> = {
 	'request.denied': 'denied',
 	'request.quarantined': 'quarantined',
 };
 
-/** @returns the lines that tell the ends of matching requests, by time */
+/** Returns the lines that end matching requests, sorted by time. */
 export function findRequests(lines: readonly LogLine[], filter: RequestFilter): LogLine[] {
-	const ends = lines.filter((line) => outcomeOf(line) !== undefined);
-	const found = ends.filter((line) => matches(line, filter));
+	const endLines = lines.filter((line) => outcomeOf(line) !== undefined);
+	const found = endLines.filter((line) => matches(line, filter));
 	return found.sort((a, b) => timeOf(a) - timeOf(b));
 }
 
-/** How many of the lines tell each outcome. */
-export function countOutcomes(ends: readonly LogLine[]): Map<string, number> {
+/** Number of lines by outcome. */
+export function countOutcomes(endLines: readonly LogLine[]): Map<string, number> {
 	const counts = new Map<string, number>();
-	for (const line of ends) {
+	for (const line of endLines) {
 		const outcome = outcomeOf(line) ?? '';
 		counts.set(outcome, (counts.get(outcome) ?? 0) + 1);
 	}
@@ -44,11 +43,11 @@
 }
 
 function matches(line: LogLine, filter: RequestFilter): boolean {
-	const at = timeOf(line);
+	const time = timeOf(line);
 	const engines = (line.get('engines') ?? '').split(',');
 	return (
-		at >= (filter.from ?? Number.NEGATIVE_INFINITY) &&
-		at < (filter.to ?? Number.POSITIVE_INFINITY) &&
+		time >= (filter.from ?? Number.NEGATIVE_INFINITY) &&
+		time < (filter.to ?? Number.POSITIVE_INFINITY) &&
 		(filter.engine === undefined || engines.includes(filter.engine)) &&
 		(filter.route === undefined || line.get('route') === filter.route) &&
 		(filter.vm === undefined || line.get('vm') === filter.vm) &&
@@ -57,9 +56,9 @@
 	);
 }
 
-/** Undefined for lines that tell no end. */
+/** Returns undefined for lines that do not end a request. */
 function outcomeOf(line: LogLine): string | undefined {
-	return otherOutcomes[line.get('event') ?? ''] ?? line.get('outcome');
+	return outcomesByEvent[line.get('event') ?? ''] ?? line.get('outcome');
 }
 
 function timeOf(line: LogLine): number {
--- a/src/core/explain/log-line.ts
+++ b/src/core/explain/log-line.ts
@@ -1,17 +1,17 @@
 /**
- * Reads lines of key=value pairs as the daemons write them.
+ * Parses the daemons' log lines, which are in logfmt (key=value pairs).
  * @module
  */
 
-/** Fields of one line by name. */
+/** Fields of a log line by name. */
 export type LogLine = ReadonlyMap<string, string>;
 
-const pair = /([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)/g;
+const pairPattern = /([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)/g;
 
-/** @returns undefined for a line that names no event */
+/** Returns undefined for a line without an event or a time. */
 export function parseLogLine(text: string): LogLine | undefined {
 	const line = new Map<string, string>();
-	for (const [, name = '', value = ''] of text.matchAll(pair)) {
+	for (const [, name = '', value = ''] of text.matchAll(pairPattern)) {
 		line.set(name, value.startsWith('"') ? unquote(value) : value);
 	}
 	return line.has('event') && line.has('time') ? line : undefined;
@@ -21,7 +21,7 @@
 	try {
 		return String(JSON.parse(value));
 	} catch {
-		// A line that was cut short keeps what it has.
+		// A truncated line ends inside a quoted value; keep the raw text.
 		return value;
 	}
 }
--- a/src/core/query/apply-command.ts
+++ b/src/core/query/apply-command.ts
@@ -1,5 +1,5 @@
 /**
- * Carries out a command on a configuration.
+ * Applies a command of the query and command language to a configuration.
  * @module
  */
 import type { Configuration } from '../configuration/index.js';
@@ -7,13 +7,13 @@
 import { unexpectedWordError } from './parse.js';
 import type { DrainCommand, QueryError, SetCommand, Subject } from './types.js';
 
-const lists = { class: 'classes', customer: 'customers', endpoint: 'endpoints' } as const;
-/** Settings that name the thing itself. */
-const fixed = new Set(['name', 'key_hashes']);
+const listNames = { class: 'classes', customer: 'customers', endpoint: 'endpoints' } as const;
+/** Fields that identify an item or hold its keys. */
+const readOnlyFields = new Set(['name', 'key_hashes']);
 
 export type ApplyCommandResult = { document: Configuration } | { error: QueryError };
 
-/** The configuration after a command; checked as a whole. */
+/** Returns a changed copy, validated as a whole. */
 export function applyCommand(
 	cfg: Configuration,
 	command: SetCommand | DrainCommand,
@@ -34,7 +34,7 @@
 	value: unknown,
 	column: number,
 ): ApplyCommandResult {
-	const list = lists[subject];
+	const list = listNames[subject];
 	const items = cfg[list] as { name: string }[];
 	const item = items.find((known) => known.name === name);
 	if (!item) {
@@ -46,15 +46,15 @@
 			),
 		};
 	}
-	const fields = fieldsOf(list).filter((known) => !fixed.has(known));
+	const fields = fieldsOf(list).filter((known) => !readOnlyFields.has(known));
 	if (!fields.includes(field)) {
 		return { error: unexpectedWordError(field, column, fields) };
 	}
 	const changed = items.map((known) => (known === item ? { ...known, [field]: value } : known));
 	const parsed = configurationSchema.safeParse({ ...cfg, [list]: changed });
-	const problem = parsed.success ? crossCheck(parsed.data)[0] : parsed.error.issues[0];
-	if (!parsed.success || problem) {
-		return { error: { column, message: `${field}: ${problem?.message}` } };
+	const issue = parsed.success ? crossCheck(parsed.data)[0] : parsed.error.issues[0];
+	if (!parsed.success || issue) {
+		return { error: { column, message: `${field}: ${issue?.message}` } };
 	}
 	return { document: parsed.data };
 }
--- a/src/core/query/evaluate.ts
+++ b/src/core/query/evaluate.ts
@@ -1,5 +1,5 @@
 /**
- * Answers a question over rows: filter, group, sort, cut.
+ * Evaluates a query over rows: filters, groups, sorts and limits them.
  * @module
  */
 import { unexpectedWordError } from './parse.js';
@@ -7,36 +7,38 @@
 
 export type QueryResult = { rows: Row[] } | { error: QueryError };
 
-/** `fields` are those that rows of the source have, also when there are no rows. */
+/** @param fields of the source's rows; needed because there may be no rows */
 export function evaluateQuery(
 	query: Query,
 	rows: readonly Row[],
 	fields: readonly string[],
 ): QueryResult {
-	const wrong = findUnknownField(query, fields);
-	if (wrong) {
-		return { error: wrong };
+	const unknownField = findUnknownField(query, fields);
+	if (unknownField) {
+		return { error: unknownField };
 	}
-	const kept = rows.filter((row) => query.where.every((condition) => holds(condition, row)));
-	const grouped = query.groupBy.length > 0 ? group(query, kept) : kept;
+	const matching = rows.filter((row) => query.where.every((condition) => isMatch(condition, row)));
+	const grouped = query.groupBy.length > 0 ? group(query, matching) : matching;
 	const sorted = query.sortBy ? sort(query.sortBy, grouped) : grouped;
 	return { rows: query.limit === undefined ? sorted : sorted.slice(0, query.limit) };
 }
 
 function findUnknownField(query: Query, fields: readonly string[]): QueryError | undefined {
-	const shown =
+	const resultFields =
 		query.groupBy.length > 0 ? [...query.groupBy.map(({ field }) => field), 'count'] : fields;
-	const asked = [...query.where, ...query.groupBy].find(({ field }) => !fields.includes(field));
-	if (asked) {
-		return unexpectedWordError(asked.field, asked.column, fields);
+	const unknownReference = [...query.where, ...query.groupBy].find(
+		({ field }) => !fields.includes(field),
+	);
+	if (unknownReference) {
+		return unexpectedWordError(unknownReference.field, unknownReference.column, fields);
 	}
 	const { sortBy } = query;
-	return sortBy && !shown.includes(sortBy.field)
-		? unexpectedWordError(sortBy.field, sortBy.column, shown)
+	return sortBy && !resultFields.includes(sortBy.field)
+		? unexpectedWordError(sortBy.field, sortBy.column, resultFields)
 		: undefined;
 }
 
-function holds(condition: Condition, row: Row): boolean {
+function isMatch(condition: Condition, row: Row): boolean {
 	const order = compareValues(row[condition.field], condition.value);
 	switch (condition.operator) {
 		case '=':
--- a/src/core/query/grammar.ts
+++ b/src/core/query/grammar.ts
@@ -1,6 +1,5 @@
 /**
- * The grammar of the query and command language, by chevrotain. Loaded on first use, since the
- * library is large.
+ * Chevrotain grammar of the query and command language. Imported on first use, since the library is large.
  * @module
  */
 import * as chevrotain from 'chevrotain';
@@ -34,6 +33,7 @@
 	}),
 };
 
+/** In order of precedence: keywords come before words. */
 const vocabulary = [
 	tokens.space,
 	tokens.operator,
@@ -66,7 +66,7 @@
 	value: chevrotain.IToken;
 }
 
-/** What the parser read, as tokens with their places. */
+/** Syntax tree of a statement, as tokens with their positions. */
 export type StatementNode =
 	| {
 			kind: 'show';
@@ -109,7 +109,7 @@
 			const operator = this.CONSUME(tokens.operator);
 			return { field, operator, value: this.SUBRULE(value) };
 		});
-		const show = this.RULE('question', (): StatementNode => {
+		const show = this.RULE('showStatement', (): StatementNode => {
 			this.CONSUME(tokens.show);
 			const source = this.CONSUME(tokens.word);
 			const where: ConditionNode[] = [];
@@ -148,14 +148,14 @@
 			});
 			return { kind: 'show', source, where, groupBy, sortBy, descending, limit };
 		});
-		const set = this.RULE('assignment', (): StatementNode => {
+		const set = this.RULE('setStatement', (): StatementNode => {
 			this.CONSUME(tokens.set);
 			const subject = this.CONSUME(tokens.word);
 			const name = this.CONSUME2(tokens.word);
 			const field = this.CONSUME3(tokens.word);
 			return { kind: 'set', subject, name, field, value: this.SUBRULE(value) };
 		});
-		const drain = this.RULE('draining', (): StatementNode => {
+		const drain = this.RULE('drainStatement', (): StatementNode => {
 			const kind = this.OR<'drain' | 'undrain'>([
 				{
 					ALT: () => {
@@ -172,19 +172,19 @@
 			]);
 			return { kind, endpoint: this.CONSUME(tokens.word) };
 		});
-		const ordering = this.RULE('ordering', (): StatementNode => {
+		const order = this.RULE('orderStatement', (): StatementNode => {
 			this.CONSUME(tokens.order);
 			const endpoint = this.CONSUME(tokens.word);
-			const order = this.CONSUME2(tokens.word);
+			const kind = this.CONSUME2(tokens.word);
 			const argument = this.OPTION(() => this.SUBRULE(value));
-			return { kind: 'order', endpoint, order, argument };
+			return { kind: 'order', endpoint, order: kind, argument };
 		});
 		this.statement = this.RULE('statement', () =>
 			this.OR([
 				{ ALT: () => this.SUBRULE(show) },
 				{ ALT: () => this.SUBRULE(set) },
 				{ ALT: () => this.SUBRULE(drain) },
-				{ ALT: () => this.SUBRULE(ordering) },
+				{ ALT: () => this.SUBRULE(order) },
 			]),
 		);
 		this.performSelfAnalysis();
--- a/src/core/query/parse.ts
+++ b/src/core/query/parse.ts
@@ -1,5 +1,5 @@
 /**
- * Reads one line of the query and command language.
+ * Parses one line of the query and command language.
  * @module
  */
 import type * as chevrotain from 'chevrotain';
@@ -17,26 +17,29 @@
 } from './types.js';
 import { sources, subjects } from './types.js';
 
-/** Words further apart than this are not suggested. */
-const nearDistance = 3;
-const firstWords = ['show', 'set', 'drain', 'undrain', 'order'];
-const clauseWords = ['where', 'and', 'group by', 'sort by', 'desc', 'limit'];
+/** Greatest edit distance of a suggestion from the word. */
+const maxSuggestionDistance = 3;
+const statementKeywords = ['show', 'set', 'drain', 'undrain', 'order'];
+const clauseKeywords = ['where', 'and', 'group by', 'sort by', 'desc', 'limit'];
 
-/** What the line says, or what is wrong with it and where. */
+/** Returns the statement, or an error with its column. */
 export async function parseStatement(line: string): Promise<ParseResult> {
 	const grammar = await import('./grammar.js');
 	const lexed = grammar.lexer.tokenize(line);
-	const [bad] = lexed.errors;
-	if (bad) {
+	const [lexError] = lexed.errors;
+	if (lexError) {
 		return {
-			error: { column: bad.offset + 1, message: `unexpected character ${line[bad.offset]}` },
+			error: {
+				column: lexError.offset + 1,
+				message: `unexpected character ${line[lexError.offset]}`,
+			},
 		};
 	}
 	grammar.parser.input = lexed.tokens;
 	const node = grammar.parser.statement();
 	const [failure] = grammar.parser.errors;
 	if (failure) {
-		return { error: describe(failure, line) };
+		return { error: describeFailure(failure, line) };
 	}
 	return toStatement(node);
 }
@@ -114,7 +117,7 @@
 	return image === 'true' || image === 'false' ? image === 'true' : image;
 }
 
-/** An error about a word that is not known, with the nearest that is. */
+/** Error for a token that is none of the known words. */
 export function unexpectedTokenError(
 	token: { image: string; startOffset: number },
 	known: string[],
@@ -122,39 +125,40 @@
 	return unexpectedWordError(token.image, token.startOffset + 1, known);
 }
 
+/** Error for a word that is none of the known ones; an empty word stands for the end of the line. */
 export function unexpectedWordError(
 	word: string,
 	column: number,
 	known: readonly string[],
 ): QueryError {
 	const message = `unexpected ${word === '' ? 'end of line' : `"${word}"`}, expected ${known.join(', ')}`;
-	return { column, message, suggestion: nearest(word, known) };
+	return { column, message, suggestion: findNearest(word, known) };
 }
 
-function nearest(word: string, known: readonly string[]): string | undefined {
+function findNearest(word: string, known: readonly string[]): string | undefined {
 	if (word === '' || known.length === 0) {
 		return undefined;
 	}
 	const best = levenshtein.closest(word, [...known]);
-	return levenshtein.distance(word, best) <= nearDistance ? best : undefined;
+	return levenshtein.distance(word, best) <= maxSuggestionDistance ? best : undefined;
 }
 
-function describe(failure: chevrotain.IRecognitionException, line: string): QueryError {
+function describeFailure(failure: chevrotain.IRecognitionException, line: string): QueryError {
 	const { token } = failure;
-	const ended = Number.isNaN(token.startOffset) || token.image === '';
-	const column = ended ? line.length + 1 : token.startOffset + 1;
+	const isEndOfLine = Number.isNaN(token.startOffset) || token.image === '';
+	const column = isEndOfLine ? line.length + 1 : token.startOffset + 1;
 	const atStart = column === 1 || line.trim() === '';
-	const rest = failure as { previousToken?: chevrotain.IToken };
+	const exception = failure as { previousToken?: chevrotain.IToken };
 	const afterValue =
-		rest.previousToken !== undefined && failure.name === 'NotAllInputParsedException';
+		exception.previousToken !== undefined && failure.name === 'NotAllInputParsedException';
 	if (atStart) {
-		return unexpectedWordError(ended ? '' : token.image, column, firstWords);
+		return unexpectedWordError(isEndOfLine ? '' : token.image, column, statementKeywords);
 	}
 	if (afterValue) {
-		return unexpectedWordError(token.image, column, clauseWords);
+		return unexpectedWordError(token.image, column, clauseKeywords);
 	}
 	const expected = /--> (.*?) <--/.exec(failure.message)?.[1];
-	const what = expected ? expected.toLowerCase() : 'a word, number or "text"';
-	const found = ended ? 'end of line' : `"${token.image}"`;
-	return { column, message: `unexpected ${found}, expected a ${what}` };
+	const expectation = expected ? expected.toLowerCase() : 'a word, number or "text"';
+	const found = isEndOfLine ? 'end of line' : `"${token.image}"`;
+	return { column, message: `unexpected ${found}, expected a ${expectation}` };
 }
--- a/src/core/query/types.ts
+++ b/src/core/query/types.ts
@@ -1,10 +1,10 @@
 /**
- * What a line of the query and command language says.
+ * Statements of the query and command language and their results.
  * @module
  */
 import type { OrderKind } from '../definitions.js';
 
-/** Things that can be asked for. */
+/** Sources of rows for `show`. */
 export const sources = {
 	requests: 'requests',
 	shed: 'shed',
@@ -15,7 +15,7 @@
 } as const;
 export type Source = (typeof sources)[keyof typeof sources];
 
-/** Things whose settings can be changed. */
+/** Kinds of items whose settings `set` changes. */
 export const subjects = { class: 'class', customer: 'customer', endpoint: 'endpoint' } as const;
 export type Subject = (typeof subjects)[keyof typeof subjects];
 
@@ -32,18 +32,18 @@
 	column: number;
 }
 
-/** A question. */
+/** Selects rows of a source. */
 export interface Query {
 	kind: 'show';
 	source: Source;
-	/** All must hold. */
+	/** Conditions that all have to match. */
 	where: Condition[];
 	groupBy: { field: string; column: number }[];
 	sortBy?: { field: string; descending: boolean; column: number };
 	limit?: number;
 }
 
-/** A change of one setting. */
+/** Changes one setting. */
 export interface SetCommand {
 	kind: 'set';
 	subject: Subject;
@@ -53,14 +53,14 @@
 	column: number;
 }
 
-/** An endpoint is taken out of or put into service. */
+/** Takes an endpoint out of service or puts it back. */
 export interface DrainCommand {
 	kind: 'drain' | 'undrain';
 	endpoint: string;
 	column: number;
 }
 
-/** An order to an endpoint. */
+/** Sends an order to an endpoint. */
 export interface OrderCommand {
 	kind: 'order';
 	endpoint: string;
@@ -70,12 +70,12 @@
 
 export type Statement = Query | SetCommand | DrainCommand | OrderCommand;
 
-/** What is wrong with a line. */
+/** Syntax error, or use of an unknown name or invalid value. */
 export interface QueryError {
-	/** From 1. */
+	/** Column in the line, from 1. */
 	column: number;
 	message: string;
-	/** Nearest known word, if one is near. */
+	/** Most similar known word, if one is similar enough. */
 	suggestion?: string;
 }
 
--- a/src/core/replay/summary.ts
+++ b/src/core/replay/summary.ts
@@ -1,11 +1,11 @@
 /**
- * Sums up a replay by class.
+ * Summarizes the results of a replay by class.
  * @module
  */
 import * as hdr from 'hdr-histogram-js';
 import type { ClassTargets, ReplayResult } from './types.js';
 
-/** Figures of one class. Times in milliseconds. */
+/** Statistics of one class. Times are in milliseconds. */
 export interface ClassSummary {
 	class: string;
 	tier: number;
@@ -14,24 +14,24 @@
 	not_run: number;
 	unknown: number;
 	incomplete: number;
-	/** Complete, and the first token, a token between or the end came too late. */
+	/** Complete answers that missed a target or were wrong. */
 	late: number;
-	/** Share of the sent that were complete and in time, in percent. */
+	/** Percentage of the sent requests that were answered within all targets. */
 	attained: number;
 	wrong: number;
 	first_p50: number;
 	first_p95: number;
 	between_p50: number;
 	between_p95: number;
-	/** Tokens of answers that ended before the deadline, a second. */
+	/** Tokens per second of correct answers that completed before the deadline. */
 	goodput: number;
-	/** Tokens that callers got in answers that were not whole or came after the deadline. */
+	/** Tokens of answers that were incomplete, wrong or after the deadline. */
 	wasted: number;
 }
 
-/** Histograms keep hundredths of a millisecond. */
-const scale = 100;
-const maxValue = 10_000_000;
+/** Histograms record integers; this keeps a resolution of 0.01 ms. */
+const unitsPerMs = 100;
+const maxValueMs = 10_000_000;
 
 export function summarize(
 	results: readonly ReplayResult[],
@@ -52,14 +52,14 @@
 	return rows.sort((a, b) => a.tier - b.tier);
 }
 
-/** Whole, before the deadline, and for a stream its tokens within their targets. */
+/** Whether the answer counts as goodput and, for a stream, its tokens met the latency targets. */
 export function isWithinTargets(result: ReplayResult, target: ClassTargets): boolean {
-	const inTime =
+	const isStreamInTime =
 		result.firstTokenMs <= target.firstTokenMs && result.betweenMs <= target.betweenTokensMs;
-	return isGoodput(result, target) && (inTime || !result.streamed);
+	return isGoodput(result, target) && (isStreamInTime || !result.streamed);
 }
 
-/** Whole, and before the deadline. */
+/** Whether the answer is complete, correct and before the deadline. */
 export function isGoodput(result: ReplayResult, target: ClassTargets): boolean {
 	return result.outcome === 'complete' && !result.wrong && result.totalMs <= target.deadlineMs;
 }
@@ -70,49 +70,51 @@
 	target: ClassTargets,
 	durationS: number,
 ): ClassSummary {
-	const firsts = histogramOf(results.map((result) => (result.streamed ? result.firstTokenMs : 0)));
-	const betweens = histogramOf(results.map((result) => result.betweenMs));
-	const useful = results.filter((result) => isGoodput(result, target));
+	const firstTokenPercentile = buildPercentiles(
+		results.map((result) => (result.streamed ? result.firstTokenMs : 0)),
+	);
+	const betweenTokensPercentile = buildPercentiles(results.map((result) => result.betweenMs));
+	const goodputResults = results.filter((result) => isGoodput(result, target));
 	const attained = results.filter((result) => isWithinTargets(result, target)).length;
-	const usefulTokens = sum(useful);
-	const complete = count(results, 'complete');
+	const goodputTokens = sumTokens(goodputResults);
+	const complete = countOutcome(results, 'complete');
 	return {
 		class: name,
 		tier: target.tier,
 		sent: results.length,
 		complete,
-		not_run: count(results, 'not-run'),
-		unknown: count(results, 'unknown'),
-		incomplete: count(results, 'incomplete'),
+		not_run: countOutcome(results, 'not-run'),
+		unknown: countOutcome(results, 'unknown'),
+		incomplete: countOutcome(results, 'incomplete'),
 		late: complete - attained,
 		attained: round((100 * attained) / results.length),
 		wrong: results.filter((result) => result.wrong).length,
-		first_p50: firsts(50),
-		first_p95: firsts(95),
-		between_p50: betweens(50),
-		between_p95: betweens(95),
-		goodput: round(usefulTokens / durationS),
-		wasted: sum(results) - usefulTokens,
+		first_p50: firstTokenPercentile(50),
+		first_p95: firstTokenPercentile(95),
+		between_p50: betweenTokensPercentile(50),
+		between_p95: betweenTokensPercentile(95),
+		goodput: round(goodputTokens / durationS),
+		wasted: sumTokens(results) - goodputTokens,
 	};
 }
 
-function count(results: readonly ReplayResult[], outcome: string): number {
+function countOutcome(results: readonly ReplayResult[], outcome: string): number {
 	return results.filter((result) => result.outcome === outcome).length;
 }
 
-function sum(results: readonly ReplayResult[]): number {
+function sumTokens(results: readonly ReplayResult[]): number {
 	return results.reduce((total, result) => total + result.tokens, 0);
 }
 
-/** Percentiles of the values above 0. */
-function histogramOf(values: readonly number[]): (percentile: number) => number {
-	const histogram = hdr.build({ highestTrackableValue: maxValue * scale });
+/** Returns a function that computes percentiles of the values above 0. */
+function buildPercentiles(values: readonly number[]): (percentile: number) => number {
+	const histogram = hdr.build({ highestTrackableValue: maxValueMs * unitsPerMs });
 	for (const value of values) {
 		if (value > 0) {
-			histogram.recordValue(Math.min(value, maxValue) * scale);
+			histogram.recordValue(Math.min(value, maxValueMs) * unitsPerMs);
 		}
 	}
-	return (percentile) => round(histogram.getValueAtPercentile(percentile) / scale);
+	return (percentile) => round(histogram.getValueAtPercentile(percentile) / unitsPerMs);
 }
 
 function round(value: number): number {
--- a/src/core/replay/types.ts
+++ b/src/core/replay/types.ts
@@ -1,10 +1,10 @@
 /**
- * A recorded trace and what its replay showed. The format is documented in docs/TRACES.md.
+ * Recorded traces and results of their replay. The format is documented in docs/TRACES.md.
  * @module
  */
 import * as zod from 'zod';
 
-/** What a request of a trace asks for. */
+/** API that a request of a trace uses. */
 export const traceKinds = { chat: 'chat', completion: 'completion', service: 'service' } as const;
 
 /** One line of a trace. */
@@ -15,25 +15,25 @@
 	customer: zod.string().min(1),
 	class: zod.string().min(1),
 	kind: zod.enum(traceKinds),
-	/** Model, or name of the plain service. */
+	/** Name of the model or plain service. */
 	target: zod.string().min(1),
-	/** Prompt, or body for a service. */
+	/** Prompt, or body of a request to a plain service. */
 	prompt: zod.string(),
-	/** Start of the prompt that other requests share. @default '' */
+	/** System prompt, which other requests may share. @default '' */
 	system: zod.string().default(''),
 	stream: zod.boolean().default(true),
 	key: zod.string().optional(),
-	/** Outcomes that are right. @default ['complete'] */
+	/** Expected outcomes. @default ['complete'] */
 	outcomes: zod.array(zod.string()).default(['complete']),
-	/** SHA-256 of the whole answer's text, where it is known. */
+	/** SHA-256 of the complete answer's text, if known. */
 	answer_sha256: zod.string().optional(),
-	/** Tokens of the whole answer, where known. */
+	/** Number of tokens of the complete answer, if known. */
 	answer_tokens: zod.int().optional(),
 });
 
 export type TraceRequest = zod.infer<typeof traceRequestSchema>;
 
-/** Targets of a class, for the verdict. Milliseconds. */
+/** Latency targets of a class. */
 export interface ClassTargets {
 	tier: number;
 	firstTokenMs: number;
@@ -41,23 +41,23 @@
 	deadlineMs: number;
 }
 
-/** What came of one request. */
+/** Result of one replayed request. */
 export interface ReplayResult {
 	id: string;
 	request: string;
 	class: string;
 	customer: string;
-	/** Milliseconds since 1970. */
+	/** Milliseconds since the Unix epoch. */
 	sentAt: number;
 	outcome: string;
 	status: number;
 	error?: string;
-	/** The caller asked for a stream; only then the first token counts. */
+	/** Whether a stream was requested; latency targets of tokens apply only to streams. */
 	streamed: boolean;
-	/** The answer was not the one that the trace states. */
+	/** The outcome or the answer differs from what the trace expects. */
 	wrong: boolean;
 	tokens: number;
-	/** Milliseconds from sending; 0 without a token. */
+	/** Milliseconds from sending to the first token; 0 without a token. */
 	firstTokenMs: number;
 	/** Mean milliseconds between tokens. */
 	betweenMs: number;
--- a/src/core/text/table.ts
+++ b/src/core/text/table.ts
@@ -1,7 +1,9 @@
 /**
- * Plain text tables.
+ * Formats plain-text tables.
  * @module
  */
+
+/** Formats rows with the same keys; the keys are the header. */
 export function formatTable(rows: readonly object[]): string {
 	const first = rows[0];
 	if (!first) {
@@ -11,14 +13,14 @@
 	const cells = rows.map((row) =>
 		names.map((name) => String((row as Record<string, unknown>)[name] ?? '')),
 	);
-	const widths = names.map((name, at) =>
-		Math.max(name.length, ...cells.map((cell) => cell[at]?.length ?? 0)),
+	const widths = names.map((name, index) =>
+		Math.max(name.length, ...cells.map((cell) => cell[index]?.length ?? 0)),
 	);
-	const line = (cell: readonly string[]) =>
+	const formatLine = (cell: readonly string[]) =>
 		cell
-			.map((text, at) => text.padEnd(widths[at] ?? 0))
+			.map((text, index) => text.padEnd(widths[index] ?? 0))
 			.join('  ')
 			.trimEnd();
-	const rule = widths.map((width) => '-'.repeat(width));
-	return [line(names), line(rule), ...cells.map(line)].join('\n');
+	const separator = widths.map((width) => '-'.repeat(width));
+	return [formatLine(names), formatLine(separator), ...cells.map(formatLine)].join('\n');
 }
--- a/src/core/timeline/hybrid-clock.ts
+++ b/src/core/timeline/hybrid-clock.ts
@@ -1,5 +1,5 @@
 /**
- * Hybrid logical clock: orders events of several daemons so that a cause stands before its effect.
+ * Hybrid logical clock: orders the events of several daemons so that causes precede their effects.
  * @module
  */
 import type { Clock } from '../definitions.js';
@@ -10,7 +10,7 @@
 
 	constructor(private readonly clock: Clock) {}
 
-	/** Time of a local event or of a message that is sent. */
+	/** Advances the clock for a local event or an outgoing message. */
 	now(): HybridTime {
 		const wall = this.clock.wall();
 		this.last =
@@ -20,7 +20,7 @@
 		return this.last;
 	}
 
-	/** Takes in the time of a message that came. */
+	/** Advances the clock to the time of an incoming message. */
 	merge(remote: HybridTime): void {
 		if (compareHybridTimes(remote, this.last) > 0) {
 			this.last = remote;
@@ -28,7 +28,7 @@
 	}
 }
 
-/** Negative when `a` is before `b`. */
+/** Returns a negative number if `a` is before `b`. */
 export function compareHybridTimes(a: HybridTime, b: HybridTime): number {
 	return a.wall - b.wall || a.counter - b.counter;
 }
--- a/src/core/timeline/index.ts
+++ b/src/core/timeline/index.ts
@@ -1,5 +1,5 @@
 /**
- * Time line of events over all processes.
+ * Timeline of the events of all daemons.
  * @module
  */
 export * from './hybrid-clock.js';
--- a/src/core/timeline/timeline.ts
+++ b/src/core/timeline/timeline.ts
@@ -1,5 +1,5 @@
 /**
- * Bounded ring of a daemon's events, and the merge of several rings.
+ * Ring buffer of a daemon's events, and the merge of several daemons' events.
  * @module
  */
 import type { HybridClock } from './hybrid-clock.js';
@@ -9,7 +9,7 @@
 export interface TimelineOptions {
 	vm: string;
 	clock: HybridClock;
-	/** Events kept. @default 20000 */
+	/** Maximum number of events kept. @default 20000 */
 	capacity?: number;
 }
 
@@ -30,12 +30,12 @@
 		this.ring[(this.seq - 1) % this.capacity] = event;
 	}
 
-	/** Events behind `seq`, oldest first. */
+	/** Events after `seq` that are still kept, oldest first. */
 	getEventsSince(seq: number): TimelineEvent[] {
 		const first = Math.max(seq + 1, this.seq - this.capacity + 1, 1);
 		const events: TimelineEvent[] = [];
-		for (let at = first; at <= this.seq; at++) {
-			const event = this.ring[(at - 1) % this.capacity];
+		for (let eventSeq = first; eventSeq <= this.seq; eventSeq++) {
+			const event = this.ring[(eventSeq - 1) % this.capacity];
 			if (event) {
 				events.push(event);
 			}
@@ -44,7 +44,7 @@
 	}
 }
 
-/** Events of several daemons in causal order. */
+/** Merges the events of several daemons in causal order. */
 export function mergeTimelines(timelines: readonly (readonly TimelineEvent[])[]): TimelineEvent[] {
 	const all = timelines.flat();
 	return all.sort(
--- a/src/core/timeline/types.ts
+++ b/src/core/timeline/types.ts
@@ -1,5 +1,5 @@
 /**
- * Events of the time line.
+ * Events of the timeline.
  * @module
  */
 
@@ -35,7 +35,7 @@
 	counter: number;
 }
 
-/** What an event says; only the fields that its kind needs are set. */
+/** Details of an event; each kind sets only the fields it needs. */
 export interface EventFields {
 	request?: string;
 	cls?: string;
@@ -52,7 +52,7 @@
 /** One event of one daemon. */
 export interface TimelineEvent extends EventFields {
 	vm: string;
-	/** Number of the event on its daemon, from 1; a gap shows that the ring overflowed. */
+	/** Number of the event on its daemon, from 1; a gap means that the ring buffer overflowed. */
 	seq: number;
 	kind: EventKind;
 	time: HybridTime;
