--- a/bench/burst.ts
+++ b/bench/burst.ts
@@ -14,7 +14,7 @@
 import type { TrafficStream } from './make-trace.js';
 import { makeTrace } from './make-trace.js';
 
-const engineOptions = { stepBaseMs: 10, stepEachMs: 1, maxBatch: 64 };
+const engineOptions = { stepBaseMs: 10, stepMsPerRequest: 1, maxBatch: 64 };
 const burstFromMs = 3000;
 
 export async function runBurstBench(name: string, args: BenchArgs): Promise<void> {
--- a/bench/hot-path.ts
+++ b/bench/hot-path.ts
@@ -28,7 +28,7 @@
 
 export async function runHotPathBench(out: string): Promise<void> {
 	const fleet = new Fleet({ daemons: 1, domains: lakeshore.domains });
-	const engine = { stepBaseMs: 1, stepEachMs: 0, maxBatch: 256 };
+	const engine = { stepBaseMs: 1, stepMsPerRequest: 0, maxBatch: 256 };
 	await fleet.startStandIns(
 		Array.from({ length: engineCount }, () => engine),
 		0,
--- a/test/fuzz/commands.ts
+++ b/test/fuzz/commands.ts
@@ -25,7 +25,7 @@
 	async run(_abstract: object, model: FleetModel): Promise<void> {
 		await this.act(model);
 		await model.settle();
-		model.checkAlways();
+		model.checkInvariants();
 	}
 
 	toString(): string {
@@ -63,7 +63,7 @@
 const advance = index.map(
 	(at) =>
 		new Step(`advance(${at})`, (model) => {
-			const run = pick(model.endpoints.live, at);
+			const run = pick(model.endpoints.activeRuns, at);
 			if (run) {
 				model.endpoints.advance(run);
 			}
@@ -73,7 +73,7 @@
 const breakRun = index.map(
 	(at) =>
 		new Step(`break(${at})`, (model) => {
-			const run = pick(model.endpoints.live, at);
+			const run = pick(model.endpoints.activeRuns, at);
 			if (run) {
 				model.endpoints.break(run);
 			}
@@ -82,24 +82,24 @@
 
 const pass = fc
 	.constantFrom(25, 100, 600, 2500, 6000)
-	.map((ms) => new Step(`pass(${ms})`, (model) => model.pass(ms)));
+	.map((ms) => new Step(`pass(${ms})`, (model) => model.advanceTime(ms)));
 
 const faults = fc.constantFrom(
-	new Step('lose messages', (model) => model.loseMessages()),
-	new Step('double messages', (model) => model.doubleMessages()),
+	new Step('lose messages', (model) => model.dropMessages()),
+	new Step('double messages', (model) => model.duplicateMessages()),
 	new Step('kv down', (model) => {
-		model.kv.down = true;
+		model.kv.isDown = true;
 	}),
 	new Step('kv up', (model) => {
-		model.kv.down = false;
+		model.kv.isDown = false;
 	}),
 	new Step('kv loses a reply', (model) => {
-		model.kv.loseReplies = 1;
+		model.kv.repliesToLose = 1;
 	}),
 	new Step('e1 down', (model) => {
-		model.endpoints.down.add('http://127.0.0.1:1');
+		model.endpoints.unreachableUrls.add('http://127.0.0.1:1');
 	}),
-	new Step('endpoints up', (model) => model.endpoints.down.clear()),
+	new Step('endpoints up', (model) => model.endpoints.unreachableUrls.clear()),
 	new Step('thaw', (model) => model.thaw()),
 );
 
@@ -135,8 +135,8 @@
 		async (commands) => {
 			const model = new FleetModel(daemons, policy);
 			await fc.asyncModelRun(() => ({ model: {}, real: model }), commands);
-			await model.finish();
-			model.checkEnd();
+			await model.recover();
+			model.checkFinalState();
 			model.countEvents(covered);
 		},
 	);
--- a/test/fuzz/fakes.ts
+++ b/test/fuzz/fakes.ts
@@ -40,8 +40,8 @@
 	call: EndpointCall;
 	sink: AnswerSink;
 	/** Next token, from 0. */
-	index: number;
-	over: boolean;
+	nextTokenIndex: number;
+	isOver: boolean;
 }
 
 /** Tokens of every answer. */
@@ -50,20 +50,20 @@
 export class FakeEndpoints implements EndpointClient {
 	readonly runs: FakeRun[] = [];
 	/** Runs that reached an endpoint, by request id. */
-	readonly reached = new Map<string, number>();
-	readonly down = new Set<string>();
+	readonly runCounts = new Map<string, number>();
+	readonly unreachableUrls = new Set<string>();
 
 	open(call: EndpointCall, sink: AnswerSink): RunningCall {
-		const run: FakeRun = { call, sink, index: call.offset, over: false };
-		if (this.down.has(call.url)) {
-			run.over = true;
+		const run: FakeRun = { call, sink, nextTokenIndex: call.offset, isOver: false };
+		if (this.unreachableUrls.has(call.url)) {
+			run.isOver = true;
 			queueMicrotask(() => sink.onError(callFailures.notSent, 'down'));
 		} else {
 			this.runs.push(run);
-			this.reached.set(call.id, (this.reached.get(call.id) ?? 0) + 1);
+			this.runCounts.set(call.id, (this.runCounts.get(call.id) ?? 0) + 1);
 		}
 		const cancel = () => {
-			run.over = true;
+			run.isOver = true;
 		};
 		return { pause: () => {}, resume: () => {}, cancel };
 	}
@@ -80,33 +80,33 @@
 		return Promise.resolve();
 	}
 
-	get live(): FakeRun[] {
-		return this.runs.filter((run) => !run.over);
+	get activeRuns(): FakeRun[] {
+		return this.runs.filter((run) => !run.isOver);
 	}
 
 	/** Gives one token, or the end. */
 	advance(run: FakeRun): void {
 		run.sink.onHead(200, { 'content-type': 'text/event-stream' });
-		if (run.index < answerTokens) {
-			run.index++;
-			run.sink.onEvents([{ data: `t${run.index - 1}`, offset: run.index }]);
+		if (run.nextTokenIndex < answerTokens) {
+			run.nextTokenIndex++;
+			run.sink.onEvents([{ data: `t${run.nextTokenIndex - 1}`, offset: run.nextTokenIndex }]);
 			return;
 		}
-		run.over = true;
+		run.isOver = true;
 		run.sink.onEvents([{ data: '[DONE]' }]);
 		run.sink.onEnd();
 	}
 
 	break(run: FakeRun): void {
-		run.over = true;
+		run.isOver = true;
 		run.sink.onError(callFailures.broken, 'cut');
 	}
 }
 
 export class FakeKv implements KvStore {
 	callCount = 0;
-	down = false;
-	loseReplies = 0;
+	isDown = false;
+	repliesToLose = 0;
 	private readonly entries = new Map<string, KvEntry>();
 	private rev = 0;
 
@@ -123,8 +123,8 @@
 		}
 		this.rev++;
 		this.entries.set(key, { value, rev: this.rev });
-		if (this.loseReplies > 0) {
-			this.loseReplies--;
+		if (this.repliesToLose > 0) {
+			this.repliesToLose--;
 			throw new KvError('the reply was lost');
 		}
 		return { swapped: true, rev: this.rev };
@@ -145,13 +145,13 @@
 	async revokeLease(): Promise<void> {}
 
 	/** A lease lapsed. */
-	drop(key: string): void {
+	expire(key: string): void {
 		this.entries.delete(key);
 	}
 
 	private check(): void {
 		this.callCount++;
-		if (this.down) {
+		if (this.isDown) {
 			throw new KvError('down');
 		}
 	}
--- a/test/fuzz/fleet-model.ts
+++ b/test/fuzz/fleet-model.ts
@@ -105,9 +105,9 @@
 	readonly endpoints = new FakeEndpoints();
 	readonly kv = new FakeKv();
 	readonly nodes: Node[];
-	readonly asked: Asked[] = [];
+	readonly submissions: Asked[] = [];
 	/** Something was lost, killed or frozen: bounds that need a whole network do not apply. */
-	disturbed = false;
+	hasHadFaults = false;
 	private readonly froze = new Set<string>();
 	private packets: Packet[] = [];
 	private nextTicket = 1;
@@ -160,13 +160,13 @@
 			avoidUntil: new Map(),
 		};
 		const caller = new Caller();
-		this.asked.push({ req, caller, node });
+		this.submissions.push({ req, caller, node });
 		const template = { method: 'POST', path: '/', headers: {}, streamed: true };
 		node.router.submit(req, template, caller);
 	}
 
 	/** Time passes; timers run and messages arrive. */
-	async pass(ms: number): Promise<void> {
+	async advanceTime(ms: number): Promise<void> {
 		const until = this.clock.now + ms;
 		while (this.clock.now < until) {
 			this.clock.now = Math.min(this.clock.now + 25, until);
@@ -194,12 +194,12 @@
 	}
 
 	/** Loses the messages that are on their way. */
-	loseMessages(): void {
-		this.disturbed = this.disturbed || this.packets.length > 0;
+	dropMessages(): void {
+		this.hasHadFaults = this.hasHadFaults || this.packets.length > 0;
 		this.packets = [];
 	}
 
-	doubleMessages(): void {
+	duplicateMessages(): void {
 		this.packets.push(...this.packets);
 	}
 
@@ -209,14 +209,14 @@
 		if (!node || this.nodes.filter((other) => other.alive).length < 2) {
 			return;
 		}
-		this.disturbed = true;
+		this.hasHadFaults = true;
 		node.alive = false;
 		for (const breakConnection of node.connections) {
 			breakConnection();
 		}
-		for (const run of this.endpoints.live) {
-			if (this.asked.some((ask) => ask.req.id === run.call.id && ask.node === node)) {
-				run.over = true;
+		for (const run of this.endpoints.activeRuns) {
+			if (this.submissions.some((ask) => ask.req.id === run.call.id && ask.node === node)) {
+				run.isOver = true;
 			}
 		}
 		for (const other of this.nodes) {
@@ -229,7 +229,7 @@
 	freeze(at: number): void {
 		const node = this.nodes[at % this.nodes.length];
 		if (node?.alive && !node.frozen && this.nodes.filter((n) => n.alive && !n.frozen).length > 1) {
-			this.disturbed = true;
+			this.hasHadFaults = true;
 			node.frozen = true;
 			this.froze.add(node.id);
 			for (const other of this.nodes) {
@@ -251,13 +251,13 @@
 	}
 
 	/** Everything is mended; every request must get its final word. */
-	async finish(): Promise<void> {
-		this.kv.down = false;
-		this.endpoints.down.clear();
+	async recover(): Promise<void> {
+		this.kv.isDown = false;
+		this.endpoints.unreachableUrls.clear();
 		this.thaw();
 		for (let round = 0; round < 400 && this.open().length > 0; round++) {
-			await this.pass(100);
-			for (const run of this.endpoints.live) {
+			await this.advanceTime(100);
+			for (const run of this.endpoints.activeRuns) {
 				this.endpoints.advance(run);
 			}
 		}
@@ -265,9 +265,9 @@
 	}
 
 	/** The promises, checked after each step. */
-	checkAlways(): void {
-		for (const { req, caller } of this.asked) {
-			const reached = this.endpoints.reached.get(req.id) ?? 0;
+	checkInvariants(): void {
+		for (const { req, caller } of this.submissions) {
+			const reached = this.endpoints.runCounts.get(req.id) ?? 0;
 			assert.ok(
 				req.repeatable || reached <= 1,
 				`${req.id} must not repeat and ran ${reached} times`,
@@ -282,16 +282,16 @@
 			assert.ok(caller.outcome !== 'complete' || whole, `${req.id} is "complete" and is not`);
 		}
 		this.checkKeys();
-		if (!this.disturbed) {
+		if (!this.hasHadFaults) {
 			this.checkLimits();
 		}
 	}
 
 	/** Checked at the end. */
-	checkEnd(): void {
-		this.checkAlways();
+	checkFinalState(): void {
+		this.checkInvariants();
 		assert.deepEqual(this.open(), [], 'requests without a final word');
-		assert.equal(this.shedForLower(), 0, 'work was shed for lower work');
+		assert.equal(this.countPriorityInversions(), 0, 'work was shed for lower work');
 	}
 
 	/** Events by kind, to show what a fuzz run has covered. */
@@ -305,7 +305,7 @@
 	}
 
 	/** Findings of the oracle that reads the time line. */
-	shedForLower(): number {
+	countPriorityInversions(): number {
 		const merged = mergeTimelines(this.nodes.map((node) => node.timeline.getEventsSince(0)));
 		// A frozen daemon cannot ask for slots: what it gives up later is not held against others.
 		const events = merged.filter(
@@ -317,7 +317,7 @@
 	}
 
 	private open(): string[] {
-		return this.asked
+		return this.submissions
 			.filter(({ node, caller }) => node.alive && caller.outcome === undefined)
 			.map(({ req }) => req.id);
 	}
@@ -325,9 +325,9 @@
 	/** Of the requests with one key, at most one reached an endpoint. */
 	private checkKeys(): void {
 		const reached = new Map<string, number>();
-		for (const { req } of this.asked) {
+		for (const { req } of this.submissions) {
 			if (req.idempotencyKey !== undefined && !req.repeatable) {
-				const count = this.endpoints.reached.get(req.id) ?? 0;
+				const count = this.endpoints.runCounts.get(req.id) ?? 0;
 				reached.set(req.idempotencyKey, (reached.get(req.idempotencyKey) ?? 0) + count);
 			}
 		}
@@ -339,7 +339,9 @@
 	private checkLimits(): void {
 		const floors = modelConfiguration.classes.length;
 		for (const endpoint of modelConfiguration.endpoints) {
-			const running = this.endpoints.live.filter((run) => run.call.url === endpoint.url).length;
+			const running = this.endpoints.activeRuns.filter(
+				(run) => run.call.url === endpoint.url,
+			).length;
 			assert.ok(running <= slots + floors, `${endpoint.name} runs ${running}`);
 		}
 	}
--- a/test/soak/deployment.ts
+++ b/test/soak/deployment.ts
@@ -187,12 +187,12 @@
 	/** Restores the store from a copy, then has the operator and the engines write their current state again. */
 	async restoreStore(copyAgeMs: number, downtimeMs: number): Promise<void> {
 		const { store } = this.fixture;
-		const copy = store.copy();
+		const copy = store.createSnapshot();
 		await sleep(copyAgeMs);
 		const end = this.recordFault('store', 'restored');
-		store.failWith = 503;
+		store.failureStatus = 503;
 		await sleep(downtimeMs);
-		store.failWith = undefined;
+		store.failureStatus = undefined;
 		store.restore(copy);
 		this.fixture.writeConfiguration();
 		await sleep(reregistrationDelayMs);
@@ -286,7 +286,7 @@
 
 /** Behaviours that are correct, or are left out so that the seeds in regressions.ts draw the same faults. */
 const excludedBehaviours: ReadonlySet<string> = new Set([
-	engineBehaviours.well,
+	engineBehaviours.healthy,
 	engineBehaviours.unframed,
 	engineBehaviours.answersTwice,
 	engineBehaviours.answersEarly,
--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -22,8 +22,8 @@
 const minLimitMs = 4000;
 const maxLimitMs = 9000;
 /** Behaviours of an overloaded engine. */
-const overloadedBehaviours = [engineBehaviours.rejects, engineBehaviours.bare503];
-const overloadedOrHealthy = [...overloadedBehaviours, engineBehaviours.well];
+const overloadedBehaviours = [engineBehaviours.rejects, engineBehaviours.unmarked503];
+const overloadedOrHealthy = [...overloadedBehaviours, engineBehaviours.healthy];
 
 type Fault = (injector: FaultInjector) => Promise<void>;
 
@@ -152,17 +152,17 @@
 const storeDeniesAccess: Fault = (injector) =>
 	injector.injectVmFault('store access denied', false, async (item) => {
 		const { store } = injector.deployment.fixture;
-		store.turnAway(item.vm.address);
+		store.refuseVm(item.vm.address);
 		await sleep(injector.randomDurationMs());
-		store.takeBack(item.vm.address);
+		store.readmitVm(item.vm.address);
 	});
 
 const storeDown: Fault = async (injector) => {
 	const { deployment } = injector;
 	const end = deployment.recordFault('store', 'down');
-	deployment.fixture.store.failWith = injector.pickRandom([503, 429]);
+	deployment.fixture.store.failureStatus = injector.pickRandom([503, 429]);
 	await sleep(injector.randomDurationMs() / 2);
-	deployment.fixture.store.failWith = undefined;
+	deployment.fixture.store.failureStatus = undefined;
 	end();
 };
 
@@ -175,9 +175,9 @@
 const storeLosesAnswers: Fault = async (injector) => {
 	const { deployment } = injector;
 	const end = deployment.recordFault('store', 'answers lost');
-	deployment.fixture.store.loseAnswers = true;
+	deployment.fixture.store.losesReplies = true;
 	await sleep(injector.randomDurationMs() / 2);
-	deployment.fixture.store.loseAnswers = false;
+	deployment.fixture.store.losesReplies = false;
 	end();
 };
 
@@ -227,7 +227,7 @@
 		await deployment.addEngine();
 		const engine = injector.pickRandom(healthy);
 		engine.isLeaving = true;
-		engine.standIn.isLeaving = true;
+		engine.standIn.isDraining = true;
 		await sleep(injector.randomDurationMs());
 		engine.standIn.behaviour = injector.pickRandom(overloadedOrHealthy);
 		await sleep(injector.randomDurationMs());
@@ -238,11 +238,11 @@
 /** An engine refuses requests and asks for back-off; it may accept requests again before the back-off ends. */
 const engineSheds: Fault = (injector) =>
 	injector.injectEngineFault('sheds', async ({ standIn }) => {
-		standIn.restS = injector.rng() * maxBackOffS;
+		standIn.backOffS = injector.rng() * maxBackOffS;
 		standIn.behaviour = injector.pickRandom(overloadedBehaviours);
 		await sleep(injector.randomDurationMs());
 		standIn.behaviour = 'well';
-		standIn.restS = undefined;
+		standIn.backOffS = undefined;
 	});
 
 /** An engine announces a limit, and may then shed requests under another limit. */
@@ -255,7 +255,7 @@
 			engine.standIn.behaviour = injector.pickRandom(overloadedBehaviours);
 			deployment.announceLimit(engine, injector.pickRandom(limitsPerS));
 			await sleep(minLimitMs);
-			engine.standIn.behaviour = engineBehaviours.well;
+			engine.standIn.behaviour = engineBehaviours.healthy;
 		}
 		deployment.announceLimit(engine, undefined);
 	});
@@ -264,7 +264,7 @@
 	injector.injectEngineFault('answers twice', async ({ standIn }) => {
 		standIn.behaviour = engineBehaviours.answersTwice;
 		await sleep(injector.randomDurationMs());
-		standIn.behaviour = engineBehaviours.well;
+		standIn.behaviour = engineBehaviours.healthy;
 	});
 
 /** The store is restored from an older copy, once or twice in a row. */
@@ -290,11 +290,11 @@
 /** An engine drops idle connections, resets new ones, or both. */
 const engineDropsConnections: Fault = (injector) =>
 	injector.injectEngineFault('drops connections', async ({ standIn }) => {
-		standIn.dropsIdle = injector.rng() < 0.7;
-		standIn.resetsNew = !standIn.dropsIdle || injector.rng() < 0.3;
+		standIn.resetsReusedConnections = injector.rng() < 0.7;
+		standIn.resetsNewConnections = !standIn.resetsReusedConnections || injector.rng() < 0.3;
 		await sleep(injector.randomDurationMs());
-		standIn.dropsIdle = false;
-		standIn.resetsNew = false;
+		standIn.resetsReusedConnections = false;
+		standIn.resetsNewConnections = false;
 	});
 
 const engineRestarts: Fault = (injector) =>
--- a/test/soak/oracle.ts
+++ b/test/soak/oracle.ts
@@ -217,7 +217,7 @@
 	const arrivals = records.arrivals.toSorted((a, b) => a.at - b.at);
 	for (const { id, engine, notice } of arrivals) {
 		const informed = requests.get(id);
-		if (!informed || !notice || !(notice.leaving || notice.restMs > 0)) {
+		if (!informed || !notice || !(notice.isDraining || notice.backOffMs > 0)) {
 			continue;
 		}
 		const later = arrivals.filter(({ id: other, ...arrival }) => {
@@ -229,14 +229,14 @@
 		const { drainMs } = records.bounds;
 		const latest = notice.at + drainMs + timingSlackMs;
 		const late = later.find(({ id: other }) => (requests.get(other)?.sentAt ?? 0) > latest);
-		if (notice.leaving && late) {
+		if (notice.isDraining && late) {
 			report(
 				guarantees.leavingNotice,
 				`${late.id} from ${informed.vm} reached ${engine} after its notice to ${id}`,
 			);
 		}
 		const duringBackOff = later.filter(
-			({ at }) => at > notice.at + inFlightMs && at < notice.at + notice.restMs,
+			({ at }) => at > notice.at + inFlightMs && at < notice.at + notice.backOffMs,
 		);
 		if (duringBackOff.length > maxDuringBackOff) {
 			report(
--- a/test/soak/run.ts
+++ b/test/soak/run.ts
@@ -98,11 +98,11 @@
 
 function collectArrivals(deployment: SoakDeployment): EngineArrival[] {
 	return deployment.engines.flatMap(({ standIn }) =>
-		standIn.seen.map((seen) => ({
+		standIn.receivedRequests.map((seen) => ({
 			id: String(seen.headers['slategauge-attempt-id']),
 			engine: standIn.id,
 			at: seen.at,
-			rejected: seen.rejected,
+			rejected: seen.wasRejected,
 			customer: seen.headers['slategauge-tenant'] as string | undefined,
 			notice: seen.notice,
 		})),
--- a/test/stand-ins/batch-engine.ts
+++ b/test/stand-ins/batch-engine.ts
@@ -6,19 +6,19 @@
 
 export interface BatchEngineOptions {
 	/** Prompt tokens read in a millisecond. */
-	readPerMs: number;
+	prefillTokensPerMs: number;
 	/** One step with nothing to read, and what each stream adds to it, in milliseconds. */
 	stepMs: number;
 	stepMsPerStream: number;
 	/** Tokens of an answer in one event. */
 	tokensPerEvent: number;
 	/** Prompt tokens that one step reads at the most. */
-	chunkTokens: number;
+	prefillChunkTokens: number;
 	slots: number;
 	/** Time on the way there and back, in milliseconds. */
-	wayMs: number;
+	networkDelayMs: number;
 	/** How many times as long all work takes at a time, in milliseconds. @default always 1 */
-	slower?: (at: number) => number;
+	slowdownAt?: (at: number) => number;
 }
 
 /** One request at the engine. */
@@ -27,7 +27,7 @@
 	sentAt: number;
 	promptTokens: number;
 	/** Tokens to read when it is let in, if the engine keeps parts of prompts. @default promptTokens */
-	unreadTokens?: () => number;
+	countUncachedTokens?: () => number;
 	answerTokens: number;
 	/** Called for each event with the time at which it arrives. */
 	onEvent: (at: number) => void;
@@ -63,7 +63,13 @@
 		this.admit();
 		const readTokens = this.readChunk();
 		const streams = this.running.filter((run) => run.unread === 0);
-		const { stepMs, stepMsPerStream, readPerMs, wayMs, slower = () => 1 } = this.opts;
+		const {
+			stepMs,
+			stepMsPerStream,
+			prefillTokensPerMs: readPerMs,
+			networkDelayMs: wayMs,
+			slowdownAt: slower = () => 1,
+		} = this.opts;
 		const usualMs = stepMs + stepMsPerStream * streams.length + readTokens / readPerMs;
 		this.now += usualMs * slower(this.now);
 		for (const run of streams) {
@@ -72,26 +78,26 @@
 	}
 
 	private admit(): void {
-		const { slots, wayMs } = this.opts;
+		const { slots, networkDelayMs: wayMs } = this.opts;
 		while (this.running.length < slots) {
 			const next = this.waiting[0];
 			if (!next || next.req.sentAt + wayMs > this.now) {
 				return;
 			}
-			next.unread = next.req.unreadTokens?.() ?? next.unread;
+			next.unread = next.req.countUncachedTokens?.() ?? next.unread;
 			this.running.push(next);
 			this.waiting.shift();
 		}
 	}
 
 	private readChunk(): number {
-		let left = this.opts.chunkTokens;
+		let left = this.opts.prefillChunkTokens;
 		for (const run of this.running) {
 			const tokens = Math.min(run.unread, left);
 			run.unread -= tokens;
 			left -= tokens;
 		}
-		return this.opts.chunkTokens - left;
+		return this.opts.prefillChunkTokens - left;
 	}
 
 	private makeToken(run: Run, at: number): void {
--- a/test/stand-ins/engine-text.ts
+++ b/test/stand-ins/engine-text.ts
@@ -14,13 +14,13 @@
 }
 
 /** Token number `index`, from 0. */
-export function tokenAt(seed: number, index: number): string {
+export function tokenText(seed: number, index: number): string {
 	const mixed = Math.imul(seed ^ (index * 0x9e3779b1), 0x85ebca6b) >>> 0;
 	return `${mixed.toString(36)}-${index} `;
 }
 
 /** Tokens of the answer to a prompt. */
-export function answerLength(prompt: string): number {
+export function answerTokenCount(prompt: string): number {
 	const match = lengthPattern.exec(prompt);
 	return match ? Number(match[1]) : 20;
 }
@@ -29,8 +29,8 @@
 export function wholeAnswer(prompt: string): string {
 	const seed = textSeed(prompt);
 	let text = '';
-	for (let index = 0; index < answerLength(prompt); index++) {
-		text += tokenAt(seed, index);
+	for (let index = 0; index < answerTokenCount(prompt); index++) {
+		text += tokenText(seed, index);
 	}
 	return text;
 }
--- a/test/stand-ins/engine.ts
+++ b/test/stand-ins/engine.ts
@@ -5,7 +5,7 @@
  */
 import * as http from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { answerLength, textSeed, tokenAt } from './engine-text.js';
+import { answerTokenCount, textSeed, tokenText } from './engine-text.js';
 
 /** How one engine behaves. Milliseconds. */
 export interface EngineOptions {
@@ -13,7 +13,7 @@
 	/** Time of a step with an empty batch. */
 	stepBaseMs: number;
 	/** Time each running request adds to a step. */
-	stepEachMs: number;
+	stepMsPerRequest: number;
 	/** Largest batch; more requests wait, best priority first. */
 	maxBatch: number;
 	/** Prompt characters taken in a millisecond. */
@@ -21,18 +21,18 @@
 	/** The load report is this old. */
 	reportLagMs: number;
 	/** Prefixes kept. */
-	cachedPrefixes: number;
+	maxCachedPrefixes: number;
 	checksFencing: boolean;
 }
 
 export const defaultEngineOptions: EngineOptions = {
 	models: ['station-1'],
 	stepBaseMs: 8,
-	stepEachMs: 0.5,
+	stepMsPerRequest: 0.5,
 	maxBatch: 64,
 	prefillCharsPerMs: 200,
 	reportLagMs: 1000,
-	cachedPrefixes: 32,
+	maxCachedPrefixes: 32,
 	checksFencing: true,
 };
 
@@ -194,7 +194,7 @@
 			priority: Number(req.headers['x-priority'] ?? 0),
 			seed: textSeed(parts.at(-1) ?? ''),
 			index: Number(req.headers['last-event-id'] ?? 0),
-			length: answerLength(parts.at(-1) ?? ''),
+			length: answerTokenCount(parts.at(-1) ?? ''),
 			model: String(body.model),
 			chat,
 			usage: options.include_usage === true,
@@ -209,7 +209,7 @@
 		const prefix = prompt.slice(0, prefixChars);
 		const hit = this.prefixes.delete(prefix);
 		this.prefixes.set(prefix, true);
-		if (this.prefixes.size > this.opts.cachedPrefixes) {
+		if (this.prefixes.size > this.opts.maxCachedPrefixes) {
 			const oldest = this.prefixes.keys().next().value;
 			this.prefixes.delete(oldest ?? '');
 		}
@@ -227,7 +227,7 @@
 			return;
 		}
 		this.stepping = true;
-		const each = this.opts.stepEachMs * this.batch.length;
+		const each = this.opts.stepMsPerRequest * this.batch.length;
 		const stepMs = (this.opts.stepBaseMs + each) * this.faults.slowFactor;
 		setTimeout(() => {
 			this.stepping = false;
@@ -261,7 +261,7 @@
 
 	private emitToken(sequence: Sequence): void {
 		if (sequence.index < sequence.length) {
-			const token = tokenAt(sequence.seed, sequence.index);
+			const token = tokenText(sequence.seed, sequence.index);
 			sequence.index++;
 			this.stats.generated++;
 			sequence.res.write(`id: ${sequence.index}\ndata: ${chunkOf(sequence, token, null)}\n\n`);
--- a/test/stand-ins/platform-engine.ts
+++ b/test/stand-ins/platform-engine.ts
@@ -7,23 +7,23 @@
 
 /** What the engine does with requests. */
 export const engineBehaviours = {
-	well: 'well',
+	healthy: 'well',
 	/** 503 with the header that says that it did not run. */
 	rejects: 'rejects',
 	/** 503 without that header. */
-	bare503: 'bare-503',
+	unmarked503: 'bare-503',
 	/** Ends the connection before any answer. */
 	resets: 'resets',
 	/** Sends three events and half of the fourth, then resets. */
-	breaksOff: 'breaks-off',
+	resetsMidStream: 'breaks-off',
 	/** Answers with the id of another request. */
-	mixesUp: 'mixes-up',
+	wrongAttemptId: 'mixes-up',
 	/** A success without its signature. */
 	unsigned: 'unsigned',
 	/** An answer without a length that is reset on the way. */
 	unframedReset: 'unframed-reset',
 	/** The same, with the reset right behind the bytes. */
-	unframedResetAtOnce: 'unframed-reset-at-once',
+	unframedImmediateReset: 'unframed-reset-at-once',
 	/** An answer without a length that ends with its connection. */
 	unframed: 'unframed',
 	/** Its own failure. */
@@ -37,7 +37,7 @@
 } as const;
 export type EngineBehaviour = (typeof engineBehaviours)[keyof typeof engineBehaviours];
 
-export interface SeenRequest {
+export interface ReceivedRequest {
 	method: string;
 	url: string;
 	headers: http.IncomingHttpHeaders;
@@ -45,9 +45,9 @@
 	/** Monotonic milliseconds at which it began. */
 	at: number;
 	/** It was refused with the word that it did not run. */
-	rejected: boolean;
+	wasRejected: boolean;
 	/** The caller's side went away before the answer ended. */
-	left: boolean;
+	hasCallerLeft: boolean;
 	/** What the head of its answer said of the engine, once that was sent. */
 	notice?: EngineNotice;
 }
@@ -56,9 +56,9 @@
 export interface EngineNotice {
 	/** Monotonic milliseconds. */
 	at: number;
-	leaving: boolean;
+	isDraining: boolean;
 	/** It wants no request for so long, in milliseconds; 0 when it did not say so. */
-	restMs: number;
+	backOffMs: number;
 	/** Requests a second that it takes from all VMs together, if it named that. */
 	limitPerS?: number;
 }
@@ -67,27 +67,27 @@
 const crashMs = 30;
 
 /** Events of every streamed answer. */
-export const streamLength = 8;
+export const streamEventCount = 8;
 
 export class PlatformEngineStandIn {
-	readonly seen: SeenRequest[] = [];
-	behaviour: EngineBehaviour = engineBehaviours.well;
+	readonly receivedRequests: ReceivedRequest[] = [];
+	behaviour: EngineBehaviour = engineBehaviours.healthy;
 	/** Between two events, in milliseconds. */
-	pauseMs = 5;
+	eventIntervalMs = 5;
 	/** Before a whole answer, in milliseconds. */
-	delayMs = 0;
+	answerDelayMs = 0;
 	/** A request with this body ends the engine soon after it has begun to run. */
-	crashesOn?: string;
+	crashBody?: string;
 	/** All its answers say that it leaves. */
-	isLeaving = false;
+	isDraining = false;
 	/** A 503 asks for so many seconds of rest. */
-	restS?: number;
+	backOffS?: number;
 	/** All its answers name this limit of requests a second. */
 	limitPerS?: number;
 	/** It forgets connections that were used once: the next request there is reset. */
-	dropsIdle = false;
+	resetsReusedConnections = false;
 	/** It resets new connections, as an engine that has too many. */
-	resetsNew = false;
+	resetsNewConnections = false;
 	/** Connections that it has answered on. */
 	private readonly used = new WeakSet<Socket>();
 	onCrash?: () => void;
@@ -95,7 +95,7 @@
 
 	constructor(readonly id: string) {
 		this.server.on('connection', (socket) => {
-			if (this.resetsNew) {
+			if (this.resetsNewConnections) {
 				socket.resetAndDestroy();
 			}
 		});
@@ -112,7 +112,7 @@
 	}
 
 	private async handle(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-		if (this.dropsIdle && this.used.has(req.socket)) {
+		if (this.resetsReusedConnections && this.used.has(req.socket)) {
 			req.socket.resetAndDestroy();
 			return;
 		}
@@ -138,20 +138,24 @@
 			res.writeHead(421, { 'slategauge-instance-id': this.id, ...this.wordsHead }).end();
 			return;
 		}
-		this.seen.push(request);
+		this.receivedRequests.push(request);
 		res.on('close', () => {
 			request.left = !res.writableFinished;
 		});
 		await this.answer(request, res, req.socket);
 	}
 
-	private async answer(req: SeenRequest, res: http.ServerResponse, socket: Socket): Promise<void> {
+	private async answer(
+		req: ReceivedRequest,
+		res: http.ServerResponse,
+		socket: Socket,
+	): Promise<void> {
 		const id = String(req.headers['slategauge-attempt-id']);
 		const signed = {
 			'slategauge-attempt-id': id,
 			'slategauge-response-signature': `by-${this.id}`,
 		};
-		if (this.crashesOn !== undefined && req.body === this.crashesOn) {
+		if (this.crashBody !== undefined && req.body === this.crashBody) {
 			await pause(crashMs);
 			this.stop();
 			this.onCrash?.();
@@ -161,13 +165,13 @@
 			case engineBehaviours.rejects:
 				this.head(req, res, 503, { 'slategauge-not-executed': '1' }).end();
 				return;
-			case engineBehaviours.bare503:
+			case engineBehaviours.unmarked503:
 				this.head(req, res, 503, signed).end('busy');
 				return;
 			case engineBehaviours.resets:
 				socket.resetAndDestroy();
 				return;
-			case engineBehaviours.mixesUp:
+			case engineBehaviours.wrongAttemptId:
 				this.head(req, res, 200, { ...signed, 'slategauge-attempt-id': 'another' }).end(
 					'not yours',
 				);
@@ -180,7 +184,7 @@
 				return;
 			case engineBehaviours.unframed:
 			case engineBehaviours.unframedReset:
-			case engineBehaviours.unframedResetAtOnce:
+			case engineBehaviours.unframedImmediateReset:
 				await this.answerUnframed(req, socket);
 				return;
 			case engineBehaviours.answersTwice:
@@ -205,17 +209,17 @@
 
 	/** Begins an answer, with what the engine says of itself. */
 	private head(
-		req: SeenRequest,
+		req: ReceivedRequest,
 		res: http.ServerResponse,
 		status: number,
 		headers: http.OutgoingHttpHeaders,
 	): http.ServerResponse {
-		const restS = status === 503 ? this.restS : undefined;
+		const restS = status === 503 ? this.backOffS : undefined;
 		const rest = restS === undefined ? {} : { 'retry-after': String(restS) };
 		req.notice = {
 			at: performance.now(),
-			leaving: this.isLeaving,
-			restMs: (restS ?? 0) * 1000,
+			isDraining: this.isDraining,
+			backOffMs: (restS ?? 0) * 1000,
 			limitPerS: this.limitPerS,
 		};
 		return res.writeHead(status, { ...headers, ...this.wordsHead, ...rest });
@@ -223,15 +227,15 @@
 
 	/** What all its answers say of it. */
 	private get wordsHead(): Record<string, string> {
-		const leaving = this.isLeaving ? { 'server-leaving': '1' } : undefined;
+		const leaving = this.isDraining ? { 'server-leaving': '1' } : undefined;
 		const limit =
 			this.limitPerS === undefined ? undefined : { 'server-limit': String(this.limitPerS) };
 		return { ...leaving, ...limit };
 	}
 
-	private async answerUnframed(req: SeenRequest, socket: Socket): Promise<void> {
-		const { behaviour, isLeaving, limitPerS, wordsHead } = this;
-		req.notice = { at: performance.now(), leaving: isLeaving, restMs: 0, limitPerS };
+	private async answerUnframed(req: ReceivedRequest, socket: Socket): Promise<void> {
+		const { behaviour, isDraining: isLeaving, limitPerS, wordsHead } = this;
+		req.notice = { at: performance.now(), isDraining: isLeaving, backOffMs: 0, limitPerS };
 		const head = [
 			'HTTP/1.1 200 OK',
 			`slategauge-attempt-id: ${req.headers['slategauge-attempt-id']}`,
@@ -240,7 +244,7 @@
 			...Object.entries(wordsHead).map((header) => header.join(': ')),
 		];
 		socket.write(`${head.join('\r\n')}\r\n\r\nhalf`);
-		if (behaviour === engineBehaviours.unframedResetAtOnce) {
+		if (behaviour === engineBehaviours.unframedImmediateReset) {
 			socket.resetAndDestroy();
 			return;
 		}
@@ -253,41 +257,41 @@
 	}
 
 	private async serve(
-		req: SeenRequest,
+		req: ReceivedRequest,
 		res: http.ServerResponse,
 		signed: Record<string, string>,
 		socket: Socket,
 	): Promise<void> {
 		if (!req.url.startsWith('/stream')) {
-			await pause(this.delayMs);
+			await pause(this.answerDelayMs);
 			this.head(req, res, 200, signed).end(`answer to ${req.body || req.url}`);
 			return;
 		}
 		this.head(req, res, 200, { ...signed, 'content-type': 'text/event-stream' });
 		const first = Number(req.headers['last-event-id'] ?? 0) + 1;
-		for (let event = first; event <= streamLength; event++) {
-			if (this.behaviour === engineBehaviours.breaksOff && event === 4) {
+		for (let event = first; event <= streamEventCount; event++) {
+			if (this.behaviour === engineBehaviours.resetsMidStream && event === 4) {
 				res.write(`id: ${event}\ndata: tok`);
-				await pause(this.pauseMs);
+				await pause(this.eventIntervalMs);
 				socket.resetAndDestroy();
 				return;
 			}
-			res.write(eventText(event, req.body));
-			await pause(this.pauseMs);
+			res.write(formatEvent(event, req.body));
+			await pause(this.eventIntervalMs);
 		}
 		res.end();
 	}
 }
 
 /** An event of a streamed answer; it names the body of its request, if that has one. */
-export function eventText(event: number, body = ''): string {
+export function formatEvent(event: number, body = ''): string {
 	const of = body === '' ? '' : ` of ${body}`;
 	return `id: ${event}\ndata: token ${event}${of}\n\n`;
 }
 
 /** The whole body of a streamed answer. */
 export function wholeStream(body = ''): string {
-	const events = Array.from({ length: streamLength }, (_, at) => eventText(at + 1, body));
+	const events = Array.from({ length: streamEventCount }, (_, at) => formatEvent(at + 1, body));
 	return events.join('');
 }
 
--- a/test/stand-ins/platform-store.ts
+++ b/test/stand-ins/platform-store.ts
@@ -29,7 +29,7 @@
 type Json = Record<string, unknown>;
 
 /** What the store held at some moment. */
-export interface StoreCopy {
+export interface StoreSnapshot {
 	items: Map<string, Item>;
 	/** Time to live by lease, in milliseconds. */
 	leases: Map<number, number>;
@@ -47,11 +47,11 @@
 	private era = 1;
 	private readonly waiting = new Set<() => void>();
 	/** Every call is answered with this status. */
-	failWith?: number;
+	failureStatus?: number;
 	/** Items under this prefix are not told. */
-	withheld?: string;
+	withheldPrefix?: string;
 	/** Writes are done and not answered. */
-	loseAnswers = false;
+	losesReplies = false;
 	/** VMs, by their address, whose calls are refused. */
 	private readonly turnedAway = new Set<string>();
 	/** One server for each address that callers tell apart by. */
@@ -81,18 +81,18 @@
 	}
 
 	/** How often all items under a prefix were asked for. */
-	rangesOf(prefix: string): number {
+	countRangeReads(prefix: string): number {
 		return this.ranges.get(prefix) ?? 0;
 	}
 
 	/** Refuses the VM's calls from now on, those that wait among them. */
-	turnAway(vm: string): void {
+	refuseVm(vm: string): void {
 		this.turnedAway.add(vm);
 		this.wake();
 	}
 
 	/** Serves the VM again. */
-	takeBack(vm: string): void {
+	readmitVm(vm: string): void {
 		this.turnedAway.delete(vm);
 	}
 
@@ -135,13 +135,13 @@
 		}
 	}
 
-	copy(): StoreCopy {
+	createSnapshot(): StoreSnapshot {
 		const leases = new Map([...this.leases].map(([id, { ttlMs }]) => [id, ttlMs]));
 		return { items: new Map(this.items), leases, revision: this.revision };
 	}
 
 	/** Comes back from an older copy: what was written since is gone, and its revisions are given out again. */
-	restore({ items, leases, revision }: StoreCopy): void {
+	restore({ items, leases, revision }: StoreSnapshot): void {
 		for (const { timer } of this.leases.values()) {
 			clearTimeout(timer);
 		}
@@ -186,11 +186,11 @@
 		const body = await readJson(req);
 		const caller = req.socket.localAddress ?? '';
 		if (this.refuses(caller)) {
-			reply(res, this.failWith ?? 503, {});
+			reply(res, this.failureStatus ?? 503, {});
 			return;
 		}
 		const [, call = '', id = ''] = url.pathname.split('/');
-		if (call === 'kv-range' && url.searchParams.get('path-prefix') === this.withheld) {
+		if (call === 'kv-range' && url.searchParams.get('path-prefix') === this.withheldPrefix) {
 			reply(res, 503, {});
 		} else if (call === 'kv-range') {
 			reply(res, 200, this.range(url.searchParams));
@@ -201,7 +201,7 @@
 			await this.watch(url.searchParams, res, caller);
 		} else if (call === 'kv-txn') {
 			this.write(body, res);
-			if (this.loseAnswers) {
+			if (this.losesReplies) {
 				req.socket.resetAndDestroy();
 			}
 		} else if (call === 'kv-lease') {
@@ -219,7 +219,7 @@
 	private range(query: URLSearchParams): Json {
 		const prefix = query.get('path-prefix') ?? '';
 		const after = query.get('since-revision') ?? '';
-		this.ranges.set(prefix, this.rangesOf(prefix) + 1);
+		this.ranges.set(prefix, this.countRangeReads(prefix) + 1);
 		this.staleRanges.set(prefix, query.get('stale-ok') === '1');
 		const keys = [...this.items.keys()].filter((key) => key.startsWith(prefix) && key > after);
 		const page = keys.sort().slice(0, 5);
@@ -228,7 +228,7 @@
 	}
 
 	private refuses(caller: string): boolean {
-		return this.failWith !== undefined || this.turnedAway.has(caller);
+		return this.failureStatus !== undefined || this.turnedAway.has(caller);
 	}
 
 	private async watch(
@@ -241,7 +241,7 @@
 		const until = Date.now() + Number(query.get('wait-ms'));
 		for (;;) {
 			if (this.refuses(caller)) {
-				reply(res, this.failWith ?? 503, {});
+				reply(res, this.failureStatus ?? 503, {});
 				return;
 			}
 			if (since < this.oldest || since > this.revision) {
@@ -292,14 +292,14 @@
 	}
 
 	/** Ends all leases now. */
-	endLeases(): void {
+	expireLeases(): void {
 		for (const id of [...this.leases.keys()]) {
 			this.endLease(id);
 		}
 	}
 
 	/** Whether the last range of a prefix allowed for old entries. */
-	wasStale(prefix: string): boolean {
+	allowedStaleEntries(prefix: string): boolean {
 		return this.staleRanges.get(prefix) === true;
 	}
 
--- a/test/steps/burst-replay.ts
+++ b/test/steps/burst-replay.ts
@@ -315,7 +315,7 @@
 			request.onEvent(at);
 		};
 		const unreadTokens = () => this.tokensToRead(req, placed, target, tally);
-		target.batch.send({ ...request, onEvent, unreadTokens });
+		target.batch.send({ ...request, onEvent, countUncachedTokens: unreadTokens });
 	}
 
 	/** Tokens to read when the request gets a slot; a copy counts as the tokens read in the same time. */
@@ -357,14 +357,14 @@
 		const { workload, paceOf } = this.opts;
 		const id = `engine-${index}`;
 		const batch = new BatchEngine({
-			readPerMs: workload.readPerMs / slowdown,
+			prefillTokensPerMs: workload.readPerMs / slowdown,
 			stepMs: workload.stepMs * slowdown,
 			stepMsPerStream: 0.03 * slowdown,
 			tokensPerEvent: 5,
-			chunkTokens: 2048,
+			prefillChunkTokens: 2048,
 			slots: workload.slots,
-			wayMs: 2,
-			slower: paceOf && ((now) => paceOf(index, now - this.startAt)),
+			networkDelayMs: 2,
+			slowdownAt: paceOf && ((now) => paceOf(index, now - this.startAt)),
 		});
 		// Starts the engine's clock at the time of the fleet.
 		batch.runUntil(this.fleet.clock.now);
--- a/test/steps/callers.steps.ts
+++ b/test/steps/callers.steps.ts
@@ -21,7 +21,7 @@
 );
 
 function client(world: FleetWorld, customer: string): OpenAI {
-	const url = world.running.daemonUrls[0];
+	const url = world.runningFleet.daemonUrls[0];
 	return new OpenAI({ baseURL: `${url}/v1`, apiKey: customerApiKey(customer), maxRetries: 0 });
 }
 
@@ -39,9 +39,9 @@
 				text += chunk.choices[0]?.delta.content ?? '';
 			}
 		} catch (err) {
-			this.seen.set('error', err);
+			this.state.set('error', err);
 		}
-		this.seen.set('answer', text);
+		this.state.set('answer', text);
 	},
 );
 
@@ -53,7 +53,7 @@
 			messages: [{ role: 'user', content: prompt }],
 		});
 		assert.equal(answer.choices[0]?.finish_reason, 'stop');
-		this.seen.set('answer', answer.choices[0]?.message.content);
+		this.state.set('answer', answer.choices[0]?.message.content);
 	},
 );
 
@@ -64,18 +64,18 @@
 			model,
 			messages: [{ role: 'user', content: 'x' }],
 		});
-		this.seen.set('error', await call.then(() => undefined).catch((err: unknown) => err));
+		this.state.set('error', await call.then(() => undefined).catch((err: unknown) => err));
 	},
 );
 
 cucumber.Then('the answer is that of {string}', function (this: FleetWorld, prompt: string) {
-	assert.equal(this.seen.get('answer'), wholeAnswer(prompt));
+	assert.equal(this.state.get('answer'), wholeAnswer(prompt));
 });
 
 cucumber.Then(
 	'the error has status {int} and says {string}',
 	function (this: FleetWorld, status: number, text: string) {
-		const err = this.seen.get('error') as InstanceType<typeof OpenAI.APIError>;
+		const err = this.state.get('error') as InstanceType<typeof OpenAI.APIError>;
 		assert.equal(err.status, status);
 		assert.match(err.message, new RegExp(text));
 	},
@@ -84,7 +84,7 @@
 cucumber.When(
 	'{word} posts {string} to the portal with key {string}',
 	async function (this: FleetWorld, customer: string, id: string, key: string) {
-		this.seen.set('post', await post(this, 0, customer, id, key));
+		this.state.set('post', await post(this, 0, customer, id, key));
 	},
 );
 
@@ -101,7 +101,7 @@
 	if (key !== undefined) {
 		headers['idempotency-key'] = key;
 	}
-	const res = await fetch(`${world.running.daemonUrls[daemon]}/services/member-portal/post`, {
+	const res = await fetch(`${world.runningFleet.daemonUrls[daemon]}/services/member-portal/post`, {
 		method: 'POST',
 		signal,
 		headers: { ...headers, 'x-slategauge-class': 'recap-post' },
@@ -114,15 +114,15 @@
 cucumber.Then(
 	'the post has status {int} and outcome {string}',
 	function (this: FleetWorld, status: number, outcome: string) {
-		assert.deepEqual(this.seen.get('post'), { status, outcome });
+		assert.deepEqual(this.state.get('post'), { status, outcome });
 	},
 );
 
 cucumber.Then(
 	'the portal counted {int} effect(s) of {string}',
 	async function (this: FleetWorld, count: number, id: string) {
-		const [service] = this.running.services;
-		const effects = await this.running.fetchStats<Record<string, number>>(service, '/effects');
+		const [service] = this.runningFleet.services;
+		const effects = await this.runningFleet.fetchStats<Record<string, number>>(service, '/effects');
 		assert.equal(effects[id] ?? 0, count);
 	},
 );
@@ -133,7 +133,7 @@
 	body: string,
 	headers: Record<string, string> = {},
 ): Promise<{ status: number; name: string; outcome: string | null }> {
-	const res = await fetch(`${world.running.daemonUrls[0]}/v1/chat/completions`, {
+	const res = await fetch(`${world.runningFleet.daemonUrls[0]}/v1/chat/completions`, {
 		method: 'POST',
 		headers: { authorization: `Bearer ${customerApiKey('listener-app')}`, ...headers },
 		body,
@@ -177,7 +177,7 @@
 cucumber.Then(
 	'a caller that writes {int} bytes before it reads receives status {int}',
 	async function (this: FleetWorld, bytes: number, status: number) {
-		const url = new URL(this.running.daemonUrls[0] as string);
+		const url = new URL(this.runningFleet.daemonUrls[0] as string);
 		const authorization = `authorization: Bearer ${customerApiKey('listener-app')}`;
 		const head = ['POST /v1/chat/completions HTTP/1.1', `host: ${url.host}`, authorization];
 		const answer = await writeThenRead(url, head, bytes);
--- a/test/steps/decisions.steps.ts
+++ b/test/steps/decisions.steps.ts
@@ -62,23 +62,23 @@
 }
 
 function allocateSlots(world: FleetWorld, reports: Record<string, HolderReport>): void {
-	const ledger = world.seen.get('ledger') as SlotLedger;
+	const ledger = world.state.get('ledger') as SlotLedger;
 	for (const [daemon, body] of Object.entries(reports)) {
 		ledger.applyReport(daemon, body, afterWarmupMs);
 	}
 	ledger.allocateSlots(afterWarmupMs);
 	const replies = ledger.takeDueReplies(afterWarmupMs).map(({ to, reply }) => [to, reply]);
-	world.seen.set('replies', Object.fromEntries(replies));
+	world.state.set('replies', Object.fromEntries(replies));
 }
 
 function replyTo(world: FleetWorld, daemon: string): OwnerReply {
-	const reply = (world.seen.get('replies') as Record<string, OwnerReply>)[daemon];
+	const reply = (world.state.get('replies') as Record<string, OwnerReply>)[daemon];
 	assert.ok(reply);
 	return reply;
 }
 
 cucumber.Given('an owner with {int} slots', function (this: FleetWorld, slots: number) {
-	this.seen.set('ledger', newLedger(slots));
+	this.state.set('ledger', newLedger(slots));
 });
 
 cucumber.Given(
@@ -86,7 +86,7 @@
 	function (this: FleetWorld, slots: number, cls: string) {
 		const ledger = newLedger(slots);
 		ledger.setFloors([hashName(cls)]);
-		this.seen.set('ledger', ledger);
+		this.state.set('ledger', ledger);
 	},
 );
 
@@ -106,7 +106,7 @@
 			Array.from({ length: count }, (_, index) =>
 				slotRequest(index, { tier, customerHash: hashName(customer) }),
 			);
-		this.seen.set('daemons', { [customerA]: a, [customerB]: b });
+		this.state.set('daemons', { [customerA]: a, [customerB]: b });
 		allocateSlots(this, {
 			[a]: report(requests(countA, customerA)),
 			[b]: report(requests(countB, customerB)),
@@ -117,7 +117,7 @@
 cucumber.Then(
 	'customer {string} has {int} slots',
 	function (this: FleetWorld, customer: string, slots: number) {
-		const daemon = (this.seen.get('daemons') as Record<string, string>)[customer] ?? '';
+		const daemon = (this.state.get('daemons') as Record<string, string>)[customer] ?? '';
 		assert.equal(replyTo(this, daemon).grants.length, slots);
 	},
 );
@@ -208,14 +208,14 @@
 }
 
 function endpointOf(world: FleetWorld): Endpoint {
-	return world.seen.get('endpoint') as Endpoint;
+	return world.state.get('endpoint') as Endpoint;
 }
 
 cucumber.Given(
 	'an endpoint of {int} slots with a target of {int} ms',
 	function (this: FleetWorld, slots: number, targetMs: number) {
 		const adaptiveLimit = new AdaptiveLimit({ initial: slots, max: slots, isAdaptive: true });
-		this.seen.set('endpoint', { adaptiveLimit, now: 1000, targetMs });
+		this.state.set('endpoint', { adaptiveLimit, now: 1000, targetMs });
 	},
 );
 
--- a/test/steps/duties.steps.ts
+++ b/test/steps/duties.steps.ts
@@ -17,7 +17,7 @@
 }
 
 cucumber.Given('{int} VMs that share a duty', function (this: FleetWorld, count: number) {
-	this.seen.set('duties', new SimulatedDuties(count));
+	this.state.set('duties', new SimulatedDuties(count));
 });
 
 cucumber.Given('{int}% of messages are lost', function (this: FleetWorld, lost: number) {
@@ -31,7 +31,7 @@
 cucumber.Then('one VM holds the duty', function (this: FleetWorld) {
 	const holders = dutiesOf(this).running.filter(({ holder }) => holder.token !== undefined);
 	assert.equal(holders.length, 1);
-	this.seen.set('holder', holders[0]);
+	this.state.set('holder', holders[0]);
 });
 
 cucumber.Then('the same VM holds the duty', function (this: FleetWorld) {
@@ -67,7 +67,7 @@
 	const fleet = dutiesOf(this);
 	const { holder } = fleet;
 	assert.ok(holder);
-	this.seen.set('holder', holder);
+	this.state.set('holder', holder);
 	holderFaults[fault]?.(fleet, holder);
 });
 
@@ -89,7 +89,7 @@
 cucumber.Given(
 	'{int} VMs that share a duty whose tokens are not checked',
 	function (this: FleetWorld, count: number) {
-		this.seen.set('duties', new SimulatedDuties(count, 1, false));
+		this.state.set('duties', new SimulatedDuties(count, 1, false));
 	},
 );
 
@@ -119,7 +119,7 @@
 });
 
 cucumber.When('its token is remembered', function (this: FleetWorld) {
-	this.seen.set('before', { token: dutiesOf(this).holder?.holder.token });
+	this.state.set('before', { token: dutiesOf(this).holder?.holder.token });
 });
 
 cucumber.When(
@@ -358,8 +358,8 @@
 		const own = { aheadMs, ms: 1_000_000 };
 		const steady = () => own.ms;
 		const clock = { monotonic: steady, sinceBoot: steady, wall: () => own.ms + own.aheadMs };
-		this.seen.set('own clock', own);
-		this.seen.set('fleet clock', new FleetClock(clock));
+		this.state.set('own clock', own);
+		this.state.set('fleet clock', new FleetClock(clock));
 	},
 );
 
--- a/test/steps/engine-costs.steps.ts
+++ b/test/steps/engine-costs.steps.ts
@@ -20,7 +20,7 @@
 const firstSeed = 7;
 
 interface Speed {
-	readPerMs: number;
+	prefillTokensPerMs: number;
 	stepMs: number;
 	tokensPerEvent: number;
 }
@@ -30,10 +30,10 @@
 	const next = seededRandom(seed);
 	const engine = new BatchEngine({
 		...speed,
-		chunkTokens,
+		prefillChunkTokens: chunkTokens,
 		stepMsPerStream,
 		slots: 64,
-		wayMs: 2,
+		networkDelayMs: 2,
 	});
 	let unreadTokens = 0;
 	for (let at = 0; at < seconds * 1000; at += (-Math.log(1 - next()) * 1000) / perS) {
@@ -59,9 +59,9 @@
 
 cucumber.Given(
 	'engines that read {float} prompt tokens per ms and generate a token in {float} ms, {int} per event',
-	function (this: FleetWorld, readPerMs: number, stepMs: number, tokensPerEvent: number) {
-		this.seen.set('speed', { readPerMs, stepMs, tokensPerEvent });
-		this.seen.set('model', new CostModel());
+	function (this: FleetWorld, prefillTokensPerMs: number, stepMs: number, tokensPerEvent: number) {
+		this.state.set('speed', { prefillTokensPerMs, stepMs, tokensPerEvent });
+		this.state.set('model', new CostModel());
 	},
 );
 
@@ -77,9 +77,9 @@
 
 cucumber.Then(
 	'reading is estimated within {int} % of {float} tokens per ms plus interleaved steps',
-	function (this: FleetWorld, percent: number, readPerMs: number) {
+	function (this: FleetWorld, percent: number, prefillTokensPerMs: number) {
 		const { stepMs } = seen<Speed>(this, 'speed');
-		const expected = 1 / readPerMs + stepMs / chunkTokens;
+		const expected = 1 / prefillTokensPerMs + stepMs / chunkTokens;
 		assertWithin(seen<CostModel>(this, 'model').of(service).readMsPerToken, expected, percent);
 	},
 );
@@ -117,7 +117,7 @@
 	const gossip = gossipMessage({ costs: seen<CostModel>(this, 'model').export([]) });
 	const other = new CostModel();
 	other.merge('vm-1', decodeGossipDatagram(encodeGossip(gossip))?.costs ?? []);
-	this.seen.set('other', other);
+	this.state.set('other', other);
 });
 
 cucumber.Then(
@@ -133,14 +133,18 @@
 
 cucumber.Given('a VM without observations', function (this: FleetWorld) {
 	const model = new CostModel();
-	this.seen.set('model', model);
-	this.seen.set('before', model.of(service));
+	this.state.set('model', model);
+	this.state.set('before', model.of(service));
 });
 
 cucumber.Then(
 	'reading is estimated at {int} tokens per ms',
-	function (this: FleetWorld, readPerMs: number) {
-		assertWithin(seen<CostModel>(this, 'model').of(service).readMsPerToken, 1 / readPerMs, 1);
+	function (this: FleetWorld, prefillTokensPerMs: number) {
+		assertWithin(
+			seen<CostModel>(this, 'model').of(service).readMsPerToken,
+			1 / prefillTokensPerMs,
+			1,
+		);
 	},
 );
 
--- a/test/steps/engine-limits.steps.ts
+++ b/test/steps/engine-limits.steps.ts
@@ -37,8 +37,8 @@
 }
 
 const timedAnswers = (world: FleetWorld): TimedAnswer[] => {
-	const known = (world.seen.get('timed') as TimedAnswer[] | undefined) ?? [];
-	world.seen.set('timed', known);
+	const known = (world.state.get('timed') as TimedAnswer[] | undefined) ?? [];
+	world.state.set('timed', known);
 	return known;
 };
 
@@ -84,7 +84,7 @@
 
 /** Arrivals at an engine since its limit had to be kept, and that limit. */
 function arrivals(world: FleetWorld, id: string): { times: number[]; limit: number } {
-	const { seen } = engineOf(world, id);
+	const { receivedRequests: seen } = engineOf(world, id);
 	const first = seen.find(({ notice }) => notice?.limitPerS !== undefined)?.notice;
 	assert.ok(first?.limitPerS);
 	const from = first.at + propagationMs;
@@ -111,7 +111,7 @@
 	'engine {string} got at least {float} of its limit',
 	function (this: FleetWorld, id: string, share: number) {
 		const { times, limit } = arrivals(this, id);
-		const all = engineOf(this, id).seen;
+		const all = engineOf(this, id).receivedRequests;
 		const from = (all[0]?.at ?? 0) + propagationMs;
 		const durationS = ((all.at(-1)?.at ?? 0) - from) / 1000;
 		const used = times.length / (limit * durationS);
@@ -122,7 +122,7 @@
 cucumber.Then(
 	'engine {string} got more than {int} requests in the last {int} ms',
 	function (this: FleetWorld, id: string, min: number, ms: number) {
-		const { seen } = engineOf(this, id);
+		const { receivedRequests: seen } = engineOf(this, id);
 		const from = (seen.at(-1)?.at ?? 0) - ms;
 		const count = seen.filter(({ at }) => at > from).length;
 		assert.ok(count > min, `${count} requests`);
@@ -161,25 +161,25 @@
 		for (let at = count; at > 0; at--) {
 			schedule.recordAdmission(refusedAt - ((at - 0.5) * seconds * 1000) / count);
 		}
-		this.seen.set('schedule', schedule);
+		this.state.set('schedule', schedule);
 	},
 );
 
 cucumber.When(
 	'{int} callers are refused, and the first engine accepts permit requests in {int} ms',
 	function (this: FleetWorld, count: number, openMs: number) {
-		const schedule = this.seen.get('schedule') as RetrySchedule;
+		const schedule = this.state.get('schedule') as RetrySchedule;
 		const times = Array.from({ length: count }, () =>
 			schedule.assignRetryAfterS(refusedAt, openMs),
 		);
-		this.seen.set('times', times);
+		this.state.set('times', times);
 	},
 );
 
 cucumber.Then(
 	'they are told to retry after {float} to {float} seconds, half a second apart',
 	function (this: FleetWorld, min: number, max: number) {
-		const times = this.seen.get('times') as number[];
+		const times = this.state.get('times') as number[];
 		assert.equal(times[0], min);
 		assert.ok((times.at(-1) ?? 0) <= max);
 		for (const [index, time] of times.slice(1).entries()) {
@@ -191,7 +191,7 @@
 cucumber.Then(
 	'a caller that is refused after many others is told to retry within {int} seconds',
 	function (this: FleetWorld, seconds: number) {
-		const schedule = this.seen.get('schedule') as RetrySchedule;
+		const schedule = this.state.get('schedule') as RetrySchedule;
 		const times = Array.from({ length: 100 }, () => schedule.assignRetryAfterS(refusedAt, 300));
 		assert.ok(Math.max(...times) <= seconds);
 	},
@@ -213,14 +213,14 @@
 		const clock = clockOf(this);
 		const ledger = new LimitLedger({ clock, onChanged() {}, onLimitChanged() {} });
 		ledger.recordLimit(1, limitPerS);
-		this.seen.set('ledger', ledger);
+		this.state.set('ledger', ledger);
 	},
 );
 
 cucumber.When(
 	/^that engine answers a later request with (\d+), (.+), without a limit$/,
 	function (this: FleetWorld, status: string, mark: string) {
-		const ledger = this.seen.get('ledger') as LimitLedger;
+		const ledger = this.state.get('ledger') as LimitLedger;
 		const clock = clockOf(this);
 		const sentAt = clock.now + (mark === 'sent before the limit' ? -1 : 1);
 		const attempt = { engine: { ref: 1, notices: new EngineNotices() }, sentAt };
@@ -232,7 +232,7 @@
 );
 
 cucumber.Then(/^the limit is (ended|active)$/, function (this: FleetWorld, state: string) {
-	const ledger = this.seen.get('ledger') as LimitLedger;
+	const ledger = this.state.get('ledger') as LimitLedger;
 	assert.equal(ledger.getLimitPerS(1), state === 'ended' ? undefined : 3);
 });
 
@@ -295,16 +295,16 @@
 		});
 		placement.placeNext();
 		assert.deepEqual(requested, ['a', 'b']);
-		this.seen.set('late permit', { placement, grant: () => grant(), sent });
+		this.state.set('late permit', { placement, grant: () => grant(), sent });
 	},
 );
 
 cucumber.When('the request ends before the permit is granted', function (this: FleetWorld) {
-	const { placement, grant } = this.seen.get('late permit') as LatePermit;
+	const { placement, grant } = this.state.get('late permit') as LatePermit;
 	placement.cancel();
 	grant();
 });
 
 cucumber.Then('the request is sent to no engine', function (this: FleetWorld) {
-	assert.deepEqual((this.seen.get('late permit') as LatePermit).sent, []);
+	assert.deepEqual((this.state.get('late permit') as LatePermit).sent, []);
 });
--- a/test/steps/engine-notices.steps.ts
+++ b/test/steps/engine-notices.steps.ts
@@ -36,7 +36,7 @@
 cucumber.Given(
 	'engine {string} announces in its answers that it drains',
 	function (this: FleetWorld, id: string) {
-		engineOf(this, id).isLeaving = true;
+		engineOf(this, id).isDraining = true;
 	},
 );
 
@@ -44,7 +44,7 @@
 	'engines {string} announce in their answers that they drain',
 	function (this: FleetWorld, ids: string) {
 		for (const id of ids.split(', ')) {
-			engineOf(this, id).isLeaving = true;
+			engineOf(this, id).isDraining = true;
 		}
 	},
 );
@@ -52,7 +52,7 @@
 cucumber.Given(
 	'engine {string} asks for a back-off of {float} seconds',
 	function (this: FleetWorld, id: string, seconds: number) {
-		engineOf(this, id).restS = seconds;
+		engineOf(this, id).backOffS = seconds;
 	},
 );
 
@@ -66,7 +66,7 @@
 	const engine = engineOf(world, id);
 	await until(async () => {
 		await fixtureOf(world).send(call, body);
-		return engine.seen.filter(({ notice }) => notice !== undefined).length >= times;
+		return engine.receivedRequests.filter(({ notice }) => notice !== undefined).length >= times;
 	});
 }
 
@@ -128,8 +128,8 @@
 	async function (this: FleetWorld, id: string) {
 		const fixture = fixtureOf(this);
 		const engine = engineOf(this, id);
-		engine.isLeaving = false;
-		engine.restS = undefined;
+		engine.isDraining = false;
+		engine.backOffS = undefined;
 		engine.behaviour = 'well';
 		await fixture.register(engine, fixture.addressOf(engine), 'ready', 1_700_000_000_000);
 	},
@@ -149,12 +149,13 @@
 		const engines = ids.split(', ').map((id) => engineOf(this, id));
 		const answers: Promise<unknown>[] = [];
 		for (const engine of engines) {
-			engine.pauseMs = 1000;
+			engine.eventIntervalMs = 1000;
 		}
 		for (let count = 1; count <= engines.length; count++) {
 			answers.push(fixture.open(call, 'letter').answer);
 			await until(
-				() => engines.filter(({ seen: requests }) => requests.length > 0).length >= count,
+				() =>
+					engines.filter(({ receivedRequests: requests }) => requests.length > 0).length >= count,
 			);
 		}
 		for (const engine of engines) {
@@ -169,9 +170,9 @@
 cucumber.Then(
 	'engine {string} got no request during its back-off',
 	function (this: FleetWorld, id: string) {
-		const { seen: requests } = engineOf(this, id);
+		const { receivedRequests: requests } = engineOf(this, id);
 		for (const { notice } of requests) {
-			const backOffEnd = (notice?.at ?? 0) + (notice?.restMs ?? 0) - clockSlackMs;
+			const backOffEnd = (notice?.at ?? 0) + (notice?.backOffMs ?? 0) - clockSlackMs;
 			const premature = requests.filter(({ at }) => at > (notice?.at ?? 0) && at < backOffEnd);
 			assert.equal(premature.length, 0);
 		}
@@ -179,11 +180,11 @@
 );
 
 cucumber.Then('engine {string} got another request', function (this: FleetWorld, id: string) {
-	assert.ok(engineOf(this, id).seen.length >= 2);
+	assert.ok(engineOf(this, id).receivedRequests.length >= 2);
 });
 
 cucumber.Given('a directory with engine {string}', function (this: FleetWorld, id: string) {
-	this.seen.set('directory', directoryOf(this, [id]));
+	this.state.set('directory', directoryOf(this, [id]));
 });
 
 function directoryOf(world: FleetWorld, ids: readonly string[]): EngineDirectory {
@@ -266,8 +267,8 @@
 		const res = { writeHead() {}, write: () => true, end() {}, onDrain() {}, onDisconnect() {} };
 		const request = new RelayedRequest(ctx, routed as never, res as never, () => {});
 		request.start();
-		this.seen.set('directory', directory);
-		this.seen.set('calls', calls);
+		this.state.set('directory', directory);
+		this.state.set('calls', calls);
 	},
 );
 
@@ -300,8 +301,8 @@
 		res.end();
 	});
 	await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
-	this.seen.set('server', server);
-	this.seen.set('received', received);
+	this.state.set('server', server);
+	this.state.set('received', received);
 });
 
 cucumber.When(
@@ -326,7 +327,7 @@
 		await sleep(clockSlackMs);
 		await transport.close();
 		seen<http.Server>(this, 'server').close();
-		this.seen.set('end', end);
+		this.state.set('end', end);
 	},
 );
 
--- a/test/steps/engine-orders.steps.ts
+++ b/test/steps/engine-orders.steps.ts
@@ -168,8 +168,8 @@
 			spotPrice: 0.22,
 			domains: names.map((name, index) => ({ name, price: 0.8 + 0.1 * index })),
 		};
-		this.seen.set('setup', { limits, names });
-		this.seen.set('engines', new SimulatedEngines(each, names, limits));
+		this.state.set('setup', { limits, names });
+		this.state.set('engines', new SimulatedEngines(each, names, limits));
 	},
 );
 
@@ -184,7 +184,7 @@
 	'the platform accepts {int} calls per second',
 	function (this: FleetWorld, calls: number) {
 		const { limits, names } = seen<{ limits: ScalingLimits; names: string[] }>(this, 'setup');
-		this.seen.set('engines', new SimulatedEngines(20, names, limits, calls));
+		this.state.set('engines', new SimulatedEngines(20, names, limits, calls));
 	},
 );
 
--- a/test/steps/engine-speeds.steps.ts
+++ b/test/steps/engine-speeds.steps.ts
@@ -80,7 +80,7 @@
 		seen<BurstReplay>(world, 'exact') ?? new BurstReplay({ ...load, knowsExactPaces: true });
 	if (exact.placed.length === 0) {
 		exact.play();
-		world.seen.set('exact', exact);
+		world.state.set('exact', exact);
 	}
 	return exact;
 }
@@ -157,7 +157,7 @@
 			observe(vm.costs, fleet.clock.now, 100, (engine) => (engine === 1 ? slowdown : 1));
 			fleet.run(100);
 		}
-		this.seen.set('observer', vm);
+		this.state.set('observer', vm);
 	},
 );
 
@@ -184,8 +184,8 @@
 	function (this: FleetWorld, slowdown: number, seconds: number) {
 		const model = new CostModel();
 		observe(model, 0, seconds * 1000, (engine) => (engine === 1 ? slowdown : 1));
-		this.seen.set('model', model);
-		this.seen.set('now', seconds * 1000);
+		this.state.set('model', model);
+		this.state.set('now', seconds * 1000);
 	},
 );
 
@@ -195,7 +195,7 @@
 		const now = seen<number>(this, 'now');
 		const paceOf = (engine: number) => (engine === 1 ? 1.6 * slowdown : 1);
 		observe(seen<CostModel>(this, 'model'), now, ms, paceOf);
-		this.seen.set('now', now + ms);
+		this.state.set('now', now + ms);
 	},
 );
 
@@ -229,7 +229,7 @@
 			model.recordPause(service, { ms, engine: engine * 4_000_000, at, undisturbedMs: ms });
 		}
 	}
-	this.seen.set('model', model);
+	this.state.set('model', model);
 });
 
 cucumber.Then(
--- a/test/steps/fleet-health.steps.ts
+++ b/test/steps/fleet-health.steps.ts
@@ -63,7 +63,7 @@
 cucumber.Given(
 	'{int} VMs and {int} engines, with {int} requests a second per VM',
 	function (this: FleetWorld, vms: number, engines: number, perS: number) {
-		this.seen.set('requests', new RequestLoad(vms, engines, perS));
+		this.state.set('requests', new RequestLoad(vms, engines, perS));
 	},
 );
 
--- a/test/steps/fleet.steps.ts
+++ b/test/steps/fleet.steps.ts
@@ -30,10 +30,13 @@
 			{ settings },
 		);
 		const policy = { name: 'granted', learn_limits: false };
-		const cfg = buildConfiguration(lakeshore, this.running, policy, { slots, max_slots: slots });
-		await this.running.applyConfiguration(cfg);
-		await this.running.waitForStatus((status) => status.members.length === daemons);
-		this.cfg = cfg;
+		const cfg = buildConfiguration(lakeshore, this.runningFleet, policy, {
+			slots,
+			max_slots: slots,
+		});
+		await this.runningFleet.applyConfiguration(cfg);
+		await this.runningFleet.waitForStatus((status) => status.members.length === daemons);
+		this.configuration = cfg;
 	},
 );
 
@@ -63,14 +66,14 @@
 		],
 		2,
 	);
-	const urls = world.running.daemonUrls;
+	const urls = world.runningFleet.daemonUrls;
 	const replay = (trace: typeof low, daemon: number) =>
 		new ReplayClient({ daemonUrls: [urls[daemon] ?? ''], keys, timeoutMs: 130_000 }).replay(trace);
 	const timer = setTimeout(() => void fault(), faultAtMs);
 	const [archive, rundown] = await Promise.all([replay(low, 0), replay(high, 1)]);
 	clearTimeout(timer);
-	world.seen.set('archive', archive);
-	world.seen.set('rundown', rundown);
+	world.state.set('archive', archive);
+	world.state.set('rundown', rundown);
 }
 
 cucumber.When(
@@ -107,21 +110,21 @@
 cucumber.When(
 	'archive floods daemon 1 while rundown arrives at daemon 2 and daemon 3 is killed',
 	async function (this: FleetWorld) {
-		await replayBurst(this, () => stopProcess(this.running.daemons[2] as never));
+		await replayBurst(this, () => stopProcess(this.runningFleet.daemons[2] as never));
 	},
 );
 
 cucumber.When(
 	'archive floods daemon 1 while rundown arrives at daemon 2 and daemon 3 is frozen',
 	async function (this: FleetWorld) {
-		const child = this.running.daemons[2]?.child;
+		const child = this.runningFleet.daemons[2]?.child;
 		await replayBurst(this, () => void child?.kill('SIGSTOP'));
 		child?.kill('SIGCONT');
 	},
 );
 
 cucumber.Then('every rundown is complete', function (this: FleetWorld) {
-	const results = this.seen.get('rundown') as ReplayResult[];
+	const results = this.state.get('rundown') as ReplayResult[];
 	assert.ok(results.length > 0);
 	const wrong = results.filter((result) => result.outcome !== 'complete' || result.wrong);
 	assert.deepEqual(wrong, []);
@@ -130,9 +133,9 @@
 /** Merged events of the daemons that are still running. */
 async function eventsOf(world: FleetWorld): Promise<TimelineEvent[]> {
 	const timelines: TimelineEvent[][] = [];
-	for (const [index, daemon] of world.running.daemons.entries()) {
+	for (const [index, daemon] of world.runningFleet.daemons.entries()) {
 		if (daemon.child.exitCode === null && daemon.child.signalCode === null) {
-			const events = await world.running.createControlClient(index).events.query({ since: 0 });
+			const events = await world.runningFleet.createControlClient(index).events.query({ since: 0 });
 			timelines.push(events as TimelineEvent[]);
 		}
 	}
@@ -146,9 +149,9 @@
 		(event) => cls === undefined || event.cls === cls || event.kind === 'request.started',
 	);
 	const deadlines = new Map(
-		(world.cfg?.classes ?? []).map((item) => [item.name, item.deadline_ms]),
+		(world.configuration?.classes ?? []).map((item) => [item.name, item.deadline_ms]),
 	);
-	const engines = new Set(world.running.engines.map((engine) => engine.name));
+	const engines = new Set(world.runningFleet.engines.map((engine) => engine.name));
 	return checkTimeline(events, deadlines, engines);
 }
 
@@ -165,7 +168,7 @@
 });
 
 cucumber.Then('archive made progress during the burst', function (this: FleetWorld) {
-	const results = this.seen.get('archive') as ReplayResult[];
+	const results = this.state.get('archive') as ReplayResult[];
 	assert.ok(results.some((result) => result.outcome === 'complete'));
 	assert.deepEqual(
 		results.filter((result) => result.wrong),
@@ -175,21 +178,21 @@
 
 cucumber.When('the fuzz run tests the independent policy', async function (this: FleetWorld) {
 	const run = fuzz(200, fuzzSeed, 'independent');
-	this.seen.set('finding', await run.then(() => undefined).catch((err: unknown) => err));
+	this.state.set('finding', await run.then(() => undefined).catch((err: unknown) => err));
 });
 
 cucumber.When(
 	'the fuzz run tests {int} command sequences',
 	async function (this: FleetWorld, runs: number) {
 		const run = fuzz(runs, fuzzSeed);
-		this.seen.set('finding', await run.then(() => undefined).catch((err: unknown) => err));
+		this.state.set('finding', await run.then(() => undefined).catch((err: unknown) => err));
 	},
 );
 
 cucumber.Then('the fuzz run reports a violation', function (this: FleetWorld) {
-	assert.match(String(this.seen.get('finding')), /Property failed/);
+	assert.match(String(this.state.get('finding')), /Property failed/);
 });
 
 cucumber.Then('the fuzz run reports no violation', function (this: FleetWorld) {
-	assert.equal(this.seen.get('finding'), undefined, String(this.seen.get('finding')));
+	assert.equal(this.state.get('finding'), undefined, String(this.state.get('finding')));
 });
--- a/test/steps/limited-load.steps.ts
+++ b/test/steps/limited-load.steps.ts
@@ -44,7 +44,7 @@
 	/^a simulated fleet of (\d+) VMs and (an engine|\d+ engines) limited to ([\d.]+) requests a second$/,
 	function (this: FleetWorld, vms: number, engines: string, limitPerS: string) {
 		const count = engines === 'an engine' ? 1 : Number.parseInt(engines, 10);
-		this.seen.set('fleet options', { vms, engines: count, limitPerS: Number(limitPerS) });
+		this.state.set('fleet options', { vms, engines: count, limitPerS: Number(limitPerS) });
 	},
 );
 
@@ -68,7 +68,7 @@
 		},
 		...kinds,
 	});
-	world.seen.set('load', load);
+	world.state.set('load', load);
 }
 
 cucumber.Given(
@@ -188,7 +188,7 @@
 	const load = loadOf(this);
 	const other = load.fleet.running.find((vm) => !vm.limits.isIssuer) as SimulatedVm;
 	other.side = 1;
-	this.seen.set('partitioned VM', other);
+	this.state.set('partitioned VM', other);
 });
 
 cucumber.When('the partition ends', function (this: FleetWorld) {
@@ -272,7 +272,7 @@
 			onDueChanged() {},
 		});
 		limits.ledger.recordLimit(1, limitPerS);
-		this.seen.set('limits', limits);
+		this.state.set('limits', limits);
 	},
 );
 
@@ -289,7 +289,7 @@
 				granted += isGranted ? 1 : 0;
 			});
 		}
-		this.seen.set('granted', granted);
+		this.state.set('granted', granted);
 	},
 );
 
@@ -317,7 +317,7 @@
 	}
 	election.update();
 	assert.ok(election.isIssuing);
-	this.seen.set('election', election);
+	this.state.set('election', election);
 });
 
 cucumber.Then('it issues no permits', function (this: FleetWorld) {
--- a/test/steps/operators.steps.ts
+++ b/test/steps/operators.steps.ts
@@ -9,7 +9,7 @@
 import type { FleetWorld } from './world.js';
 
 function withChatDeadline(world: FleetWorld, deadlineMs: number): Configuration {
-	const { cfg } = world;
+	const { configuration: cfg } = world;
 	assert.ok(cfg);
 	const classes = cfg.classes.map((cls) =>
 		cls.name === 'chat' ? { ...cls, deadline_ms: deadlineMs } : cls,
@@ -21,20 +21,20 @@
 	'two operators change the deadline of chat at once through different daemons',
 	async function (this: FleetWorld) {
 		const change = (index: number, by: string, deadlineMs: number) =>
-			this.running.createControlClient(index).applyConfiguration.mutate({
+			this.runningFleet.createControlClient(index).applyConfiguration.mutate({
 				document: withChatDeadline(this, deadlineMs),
 				base: 1,
 				by,
 			});
 		const pending = [change(0, 'ann', 31_000), change(1, 'bob', 32_000)];
-		this.seen.set('changes', await Promise.allSettled(pending));
+		this.state.set('changes', await Promise.allSettled(pending));
 	},
 );
 
 cucumber.Then(
 	'one change is accepted and the other is rejected with the author and changes of the accepted version',
 	function (this: FleetWorld) {
-		const changes = this.seen.get('changes') as PromiseSettledResult<{ by: string }>[];
+		const changes = this.state.get('changes') as PromiseSettledResult<{ by: string }>[];
 		const accepted = changes.find((change) => change.status === 'fulfilled');
 		const rejected = changes.find((change) => change.status === 'rejected');
 		assert.ok(accepted && rejected, 'expected one accepted and one rejected change');
@@ -45,58 +45,60 @@
 );
 
 cucumber.When('an operator changes the deadline of chat', async function (this: FleetWorld) {
-	const accepted = await this.running.createControlClient(0).applyConfiguration.mutate({
+	const accepted = await this.runningFleet.createControlClient(0).applyConfiguration.mutate({
 		document: withChatDeadline(this, 33_000),
 		base: 1,
 		by: 'ann',
 	});
-	this.seen.set('accepted', accepted.version);
+	this.state.set('accepted', accepted.version);
 });
 
 cucumber.Then(
 	'the change is accepted as version {int}',
 	function (this: FleetWorld, version: number) {
-		assert.equal(this.seen.get('accepted'), version);
+		assert.equal(this.state.get('accepted'), version);
 	},
 );
 
 cucumber.Then(
 	'every daemon has version {int} in force',
 	async function (this: FleetWorld, version: number) {
-		await this.running.waitForStatus((status) => status.configuration_version === version);
+		await this.runningFleet.waitForStatus((status) => status.configuration_version === version);
 	},
 );
 
 cucumber.When(
 	'the operator drains engine {int}',
 	async function (this: FleetWorld, engine: number) {
-		const { cfg } = this;
+		const { configuration: cfg } = this;
 		assert.ok(cfg);
-		const name = this.running.engines[engine - 1]?.name;
+		const name = this.runningFleet.engines[engine - 1]?.name;
 		const endpoints = cfg.endpoints.map((endpoint) =>
 			endpoint.name === name ? { ...endpoint, state: 'drained' as const } : endpoint,
 		);
-		await this.running.applyConfiguration({ ...cfg, endpoints });
+		await this.runningFleet.applyConfiguration({ ...cfg, endpoints });
 	},
 );
 
 cucumber.When(
 	'an operator limits engine {int} to {int} slots',
 	async function (this: FleetWorld, engine: number, slots: number) {
-		const { cfg } = this;
+		const { configuration: cfg } = this;
 		assert.ok(cfg);
-		const name = this.running.engines[engine - 1]?.name;
+		const name = this.runningFleet.engines[engine - 1]?.name;
 		const endpoints = cfg.endpoints.map((endpoint) =>
 			endpoint.name === name ? { ...endpoint, slots, max_slots: slots } : endpoint,
 		);
-		await this.running.applyConfiguration({ ...cfg, endpoints });
+		await this.runningFleet.applyConfiguration({ ...cfg, endpoints });
 	},
 );
 
 cucumber.Then(
 	'engine {int} never ran more than {int} requests at once',
 	async function (this: FleetWorld, engine: number, maxRequests: number) {
-		const stats = await this.running.fetchStats<EngineStats>(this.running.engines[engine - 1]);
+		const stats = await this.runningFleet.fetchStats<EngineStats>(
+			this.runningFleet.engines[engine - 1],
+		);
 		assert.ok(stats.peakBatch <= maxRequests, String(stats.peakBatch));
 	},
 );
--- a/test/steps/orders.steps.ts
+++ b/test/steps/orders.steps.ts
@@ -61,18 +61,18 @@
 		const clock = new FakeClock();
 		const kv = new FakeKv();
 		await assert.rejects(newSender(clock, kv, true).sender.send(request), /crashed/);
-		kv.drop('slategauge/orders/endpoint/e1');
+		kv.expire('slategauge/orders/endpoint/e1');
 		const next = newSender(clock, kv, false);
 		const startedAt = clock.now;
 		await next.sender.send(request);
-		this.seen.set('delayMs', (next.sent[0]?.at ?? 0) - startedAt);
+		this.state.set('delayMs', (next.sent[0]?.at ?? 0) - startedAt);
 	},
 );
 
 cucumber.Then(
 	'the next holder sends its order only after the duration of a lease',
 	function (this: FleetWorld) {
-		assert.ok(Number(this.seen.get('delayMs')) > orderLeaseMs);
+		assert.ok(Number(this.state.get('delayMs')) > orderLeaseMs);
 	},
 );
 
@@ -80,20 +80,20 @@
 	'a holder is paused for {int} ms between its lease and its order',
 	async function (this: FleetWorld, pauseMs: number) {
 		const paused = newSender(new FakeClock(), new FakeKv(), false, pauseMs);
-		this.seen.set('error', await paused.sender.send(request).catch((err: unknown) => err));
-		this.seen.set('sent', paused.sent);
+		this.state.set('error', await paused.sender.send(request).catch((err: unknown) => err));
+		this.state.set('sent', paused.sent);
 	},
 );
 
 cucumber.Then('the order is not sent', function (this: FleetWorld) {
-	assert.deepEqual(this.seen.get('sent'), []);
-	assert.equal((this.seen.get('error') as Error).name, 'OrderLeaseLost');
+	assert.deepEqual(this.state.get('sent'), []);
+	assert.equal((this.state.get('error') as Error).name, 'OrderLeaseLost');
 });
 
 cucumber.Then(
 	'an order with an outdated fencing token to engine {int} is refused',
 	async function (this: FleetWorld, engine: number) {
-		const port = this.running.engines[engine - 1]?.port;
+		const port = this.runningFleet.engines[engine - 1]?.port;
 		const res = await fetch(`http://127.0.0.1:${port}/orders`, {
 			method: 'POST',
 			body: JSON.stringify({ kind: 'drain', argument: '', fencingToken: 1 }),
--- a/test/steps/overload.steps.ts
+++ b/test/steps/overload.steps.ts
@@ -132,13 +132,13 @@
 
 	private engineOptions() {
 		return {
-			readPerMs: 45 / this.pace,
+			prefillTokensPerMs: 45 / this.pace,
 			stepMs: 4.5 * this.pace,
 			stepMsPerStream: 0.025 * this.pace,
 			tokensPerEvent: 4,
-			chunkTokens: 1024,
+			prefillChunkTokens: 1024,
 			slots: 64,
-			wayMs: 1,
+			networkDelayMs: 1,
 		};
 	}
 
@@ -222,7 +222,7 @@
 			replay.play(trace);
 			return replay.tallies;
 		});
-		this.seen.set('tallies', tallies);
+		this.state.set('tallies', tallies);
 	},
 );
 
--- a/test/steps/programs.steps.ts
+++ b/test/steps/programs.steps.ts
@@ -19,7 +19,7 @@
 }
 
 /** Runs a program to its end. */
-export async function run(program: keyof typeof programs, args: string[]): Promise<Ran> {
+export async function runProgram(program: keyof typeof programs, args: string[]): Promise<Ran> {
 	const child = childProcess.spawn(process.execPath, [programs[program], ...args]);
 	let output = '';
 	child.stdout.on('data', (chunk) => {
@@ -36,51 +36,57 @@
 	const dir = await fs.mkdtemp(path.join(os.tmpdir(), 'slategauge-'));
 	const file = path.join(dir, 'file.toml');
 	await fs.writeFile(file, text);
-	this.seen.set('file', file);
+	this.state.set('file', file);
 });
 
 cucumber.When('slategauged checks it', async function (this: FleetWorld) {
-	this.seen.set('ran', await run('slategauged', ['check', String(this.seen.get('file'))]));
+	this.state.set('ran', await runProgram('slategauged', ['check', String(this.state.get('file'))]));
 });
 
 cucumber.When('slategauge checks it as a configuration', async function (this: FleetWorld) {
-	this.seen.set('ran', await run('slategauge', ['config', 'check', String(this.seen.get('file'))]));
+	this.state.set(
+		'ran',
+		await runProgram('slategauge', ['config', 'check', String(this.state.get('file'))]),
+	);
 });
 
 cucumber.When('the operator runs {string}', async function (this: FleetWorld, line: string) {
-	const daemon = `127.0.0.1:${this.running.daemons[0]?.controlPort}`;
+	const daemon = `127.0.0.1:${this.runningFleet.daemons[0]?.controlPort}`;
 	const args = [...line.split(' '), '--daemon', daemon, '--token', peerToken];
-	this.seen.set('ran', await run('slategauge', args));
+	this.state.set('ran', await runProgram('slategauge', args));
 });
 
 cucumber.When(
 	'the operator with a wrong token runs {string}',
 	async function (this: FleetWorld, line: string) {
-		const daemon = `127.0.0.1:${this.running.daemons[0]?.controlPort}`;
-		this.seen.set('ran', await run('slategauge', [line, '--daemon', daemon, '--token', 'wrong']));
+		const daemon = `127.0.0.1:${this.runningFleet.daemons[0]?.controlPort}`;
+		this.state.set(
+			'ran',
+			await runProgram('slategauge', [line, '--daemon', daemon, '--token', 'wrong']),
+		);
 	},
 );
 
 cucumber.Then('it exits with {int}', function (this: FleetWorld, code: number) {
-	const ran = this.seen.get('ran') as Ran;
+	const ran = this.state.get('ran') as Ran;
 	assert.equal(ran.code, code, ran.output);
 });
 
 cucumber.Then('it prints {string}', function (this: FleetWorld, text: string) {
-	const { output } = this.seen.get('ran') as Ran;
+	const { output } = this.state.get('ran') as Ran;
 	assert.ok(output.includes(text), output);
 });
 
 cucumber.When(
 	'slategauged checks the file {string}',
 	async function (this: FleetWorld, file: string) {
-		this.seen.set('ran', await run('slategauged', ['check', file]));
+		this.state.set('ran', await runProgram('slategauged', ['check', file]));
 	},
 );
 
 cucumber.When(
 	'slategauge checks the configuration {string}',
 	async function (this: FleetWorld, file: string) {
-		this.seen.set('ran', await run('slategauge', ['config', 'check', file]));
+		this.state.set('ran', await runProgram('slategauge', ['config', 'check', file]));
 	},
 );
--- a/test/steps/quarantine.steps.ts
+++ b/test/steps/quarantine.steps.ts
@@ -67,7 +67,7 @@
 	'{int} VMs and {int} engines that crash on one content, which arrives {int} times a second',
 	function (this: FleetWorld, vms: number, engines: number, crashesPerS: number) {
 		const load: CrashLoad = { vms, engines, crashesPerS, harmlessPerS: 0, lost: 0 };
-		this.seen.set('load', load);
+		this.state.set('load', load);
 	},
 );
 
@@ -93,7 +93,7 @@
 			run.run(s * 1000);
 			return run;
 		});
-		this.seen.set('runs', runs);
+		this.state.set('runs', runs);
 	},
 );
 
@@ -135,7 +135,7 @@
 cucumber.Given('{int} VMs that exchange gossip', function (this: FleetWorld, count: number) {
 	const fleet = new SimulatedFleet(count, 3);
 	fleet.run(1000);
-	this.seen.set('fleet', fleet);
+	this.state.set('fleet', fleet);
 });
 
 /** Fails contents at an engine, one at each VM in turn; the first VM detects the crash. */
@@ -234,7 +234,7 @@
 			lease: 1,
 		};
 		const range = async () => ({ items: [item], revision: 1 });
-		this.seen.set('store', { range } as unknown as Store);
+		this.state.set('store', { range } as unknown as Store);
 	},
 );
 
@@ -263,8 +263,8 @@
 	await records.update();
 	current = store;
 	clock.now += 60_000;
-	this.seen.set('quarantine', quarantine);
-	this.seen.set('records', records);
+	this.state.set('quarantine', quarantine);
+	this.state.set('records', records);
 });
 
 cucumber.When(
--- a/test/steps/relay-burst.steps.ts
+++ b/test/steps/relay-burst.steps.ts
@@ -28,7 +28,7 @@
 	function (this: FleetWorld, vms: string, domains: string, engines: string, work: string) {
 		const workload = workloads[work];
 		const sizes = { vms: Number(vms), domains: Number(domains), engines: Number(engines) };
-		this.seen.set('burst', { ...sizes, workload, seed });
+		this.state.set('burst', { ...sizes, workload, seed });
 	},
 );
 
@@ -45,7 +45,7 @@
 		const burst = seen<BurstOptions>(this, 'burst');
 		const replay = new BurstReplay({ ...burst, longPerS, shortPerS, seconds });
 		replay.play();
-		this.seen.set('replay', replay);
+		this.state.set('replay', replay);
 	},
 );
 
--- a/test/steps/relay-fakes.ts
+++ b/test/steps/relay-fakes.ts
@@ -89,7 +89,7 @@
 }
 
 export function seen<T>(world: FleetWorld, name: string): T {
-	return world.seen.get(name) as T;
+	return world.state.get(name) as T;
 }
 
 export function route(part: Partial<Route>): Route {
--- a/test/steps/relay-fleet.steps.ts
+++ b/test/steps/relay-fleet.steps.ts
@@ -38,7 +38,7 @@
 import type { FleetWorld } from './world.js';
 
 cucumber.Given('a fleet size that never was read', function (this: FleetWorld) {
-	this.seen.set('size', new FleetSize());
+	this.state.set('size', new FleetSize());
 });
 
 cucumber.Then(
@@ -73,9 +73,9 @@
 }
 
 cucumber.Given('a directory of engines {string}', function (this: FleetWorld, ids: string) {
-	this.seen.set('notifications', 0);
-	const onChanged = () => this.seen.set('notifications', seen<number>(this, 'notifications') + 1);
-	this.seen.set('directory', newDirectory(this, ids, undefined, onChanged));
+	this.state.set('notifications', 0);
+	const onChanged = () => this.state.set('notifications', seen<number>(this, 'notifications') + 1);
+	this.state.set('directory', newDirectory(this, ids, undefined, onChanged));
 });
 
 cucumber.Given('the fleet has {int} requests at {string}', addFleetRequests);
@@ -87,9 +87,9 @@
 	assert.ok(engine);
 	fleet.receive(workMessage(this, engine.incarnationKey, count, { seq: 1 }));
 	assert.equal(fleet.workAt(engine.incarnationKey).running, count);
-	this.seen.set('directory', engines);
-	this.seen.set('fleet', fleet);
-	this.seen.set('engine before', engine);
+	this.state.set('directory', engines);
+	this.state.set('fleet', fleet);
+	this.state.set('engine before', engine);
 }
 
 cucumber.When('{string} begins again under its id', function (this: FleetWorld, id: string) {
@@ -168,7 +168,7 @@
 
 cucumber.Given('a peer with the same directory', function (this: FleetWorld) {
 	const ids = seen<EngineDirectory>(this, 'directory').eligible('pool');
-	this.seen.set('peer', newDirectory(this, ids.map((engine) => engine.id).join(', ')));
+	this.state.set('peer', newDirectory(this, ids.map((engine) => engine.id).join(', ')));
 });
 
 cucumber.When(
@@ -292,8 +292,8 @@
 
 cucumber.Given('a fleet of {int} VMs', function (this: FleetWorld, size: number) {
 	const names = Array.from({ length: size }, (_, index) => `vm-${index + 1}`);
-	this.seen.set('names', names);
-	this.seen.set(
+	this.state.set('names', names);
+	this.state.set(
 		'selections',
 		names.map((name) => new ReaderSelection(name)),
 	);
@@ -359,7 +359,7 @@
 		backOff: sleep,
 	});
 	void follower.follow();
-	this.seen.set('follower', { follower, sleeping, calls: () => calls });
+	this.state.set('follower', { follower, sleeping, calls: () => calls });
 });
 
 interface FollowerFixture {
@@ -421,7 +421,7 @@
 	function (this: FleetWorld, running: number, engine: string, seq: number) {
 		const fleet = newFleetView(this);
 		fleet.receive(workMessage(this, engine, running, { seq }));
-		this.seen.set('fleet', fleet);
+		this.state.set('fleet', fleet);
 	},
 );
 
@@ -478,7 +478,7 @@
 		],
 		issuer: { address: '10.0.0.3:1', term: 4, heartbeatSeq: 1200, isResigned: false },
 	});
-	this.seen.set('message', message);
+	this.state.set('message', message);
 });
 
 cucumber.Then('they are the same after encoding and decoding', function (this: FleetWorld) {
@@ -545,7 +545,7 @@
 		const valid = { from: '10.0.0.1:7000', id: 1, limit, urgency: 0, waitMs: 30 };
 		assert.ok(datagrams.dispatchDatagram(encodePermitRequest(valid), noListener));
 		const part = { [field]: field === 'from' ? value : Number(value) };
-		this.seen.set('datagram', encodePermitRequest({ ...valid, ...part }));
+		this.state.set('datagram', encodePermitRequest({ ...valid, ...part }));
 	},
 );
 
--- a/test/steps/relay-gossip.steps.ts
+++ b/test/steps/relay-gossip.steps.ts
@@ -42,7 +42,7 @@
 cucumber.Given(
 	'{int} VMs in {int} failure domains',
 	function (this: FleetWorld, count: number, domains: number) {
-		this.seen.set('simulated', new SimulatedFleet(count, domains));
+		this.state.set('simulated', new SimulatedFleet(count, domains));
 	},
 );
 
@@ -115,7 +115,7 @@
 				fleet.run(1000 / perSecond);
 			}
 		}
-		this.seen.set('fleets', fleets);
+		this.state.set('fleets', fleets);
 	},
 );
 
@@ -160,7 +160,7 @@
 		fleet.resetCounts();
 		fleet.run(ms);
 		const rates = fleet.vms.map((vm) => (vm.received * 1000) / ms).sort((a, b) => a - b);
-		this.seen.set('rates', rates);
+		this.state.set('rates', rates);
 		const median = rates[Math.floor(rates.length / 2)] ?? 0;
 		assert.ok(median <= maxRate, `${median} a second`);
 	},
@@ -231,7 +231,7 @@
 			vm.exchange.markChanged();
 			fleetOf(this).run(100);
 		}
-		this.seen.set('segments', count);
+		this.state.set('segments', count);
 	},
 );
 
@@ -269,7 +269,7 @@
 	fleet.run(1000);
 	const reader = memberOf(fleet);
 	reader.storeStatus = { contactAgeMs: 100, revision: 5, digest: 6, dutyToken: 0 };
-	this.seen.set('reader', reader);
+	this.state.set('reader', reader);
 });
 
 cucumber.When('it stops reading the store', function (this: FleetWorld) {
--- a/test/steps/relay-http-server.steps.ts
+++ b/test/steps/relay-http-server.steps.ts
@@ -60,9 +60,9 @@
 			handle,
 		});
 		await new Promise<void>((done) => relayServer.server.listen(0, '127.0.0.1', done));
-		this.seen.set('relayServer', relayServer);
-		this.seen.set('writers', writers);
-		this.seen.set('pieces', count);
+		this.state.set('relayServer', relayServer);
+		this.state.set('writers', writers);
+		this.state.set('pieces', count);
 	},
 );
 
@@ -83,7 +83,7 @@
 		await new Promise((done) => socket.on('end', done));
 		socket.destroy();
 		server.close();
-		this.seen.set('read', Buffer.concat(chunks));
+		this.state.set('read', Buffer.concat(chunks));
 	},
 );
 
--- a/test/steps/relay-large-fleet.steps.ts
+++ b/test/steps/relay-large-fleet.steps.ts
@@ -42,7 +42,7 @@
 				expected.set(id, (expected.get(id) ?? 0) + running);
 			}
 		}
-		this.seen.set('expected', expected);
+		this.state.set('expected', expected);
 	},
 );
 
--- a/test/steps/relay-log.steps.ts
+++ b/test/steps/relay-log.steps.ts
@@ -24,7 +24,7 @@
 		{ length: count },
 		(_, index) => `id: ${index + 1}\ndata: token ${index}\n\n`,
 	);
-	this.seen.set('stream', Buffer.from(events.join('')));
+	this.state.set('stream', Buffer.from(events.join('')));
 });
 
 cucumber.Then('any cut into chunks yields the same events and ids', function (this: FleetWorld) {
@@ -68,7 +68,7 @@
 		}, 200);`;
 	const args = ['--input-type=module', '-e', program];
 	const child = childProcess.spawn(process.execPath, args, { stdio: ['ignore', 'pipe', 'pipe'] });
-	this.seen.set('writer', child);
+	this.state.set('writer', child);
 });
 
 cucumber.When('100000 lines are written', async function (this: FleetWorld) {
@@ -76,7 +76,7 @@
 	const chunks: Buffer[] = [];
 	child.stderr?.on('data', (chunk: Buffer) => chunks.push(chunk));
 	await new Promise((done) => child.on('exit', done));
-	this.seen.set('written', JSON.parse(Buffer.concat(chunks).toString()));
+	this.state.set('written', JSON.parse(Buffer.concat(chunks).toString()));
 });
 
 cucumber.Then('writing took less than 2 seconds of waiting', function (this: FleetWorld) {
@@ -103,7 +103,7 @@
 		});
 		await new Promise((done) => child.on('exit', done));
 		await log.close();
-		this.seen.set('file', await fs.readFile(file, 'utf8'));
+		this.state.set('file', await fs.readFile(file, 'utf8'));
 		await fs.rm(file);
 	},
 );
@@ -128,7 +128,7 @@
 		];
 		const parsed = lines.map(parseLogLine).filter((line) => line !== undefined);
 		assert.equal(parsed.length, lines.length - 1);
-		this.seen.set('lines', parsed);
+		this.state.set('lines', parsed);
 	},
 );
 
@@ -150,7 +150,7 @@
 			`${at(21)} event=quarantine.entered vm=vm-3 content=2b1f engines=2 source=news`,
 			`${at(40)} event=request.quarantined vm=vm-3 request=${third} content=2b1f`,
 		];
-		this.seen.set('lines', lines.map(parseLogLine));
+		this.state.set('lines', lines.map(parseLogLine));
 	},
 );
 
@@ -172,7 +172,7 @@
 			`${at(1)} ${notice(otherVm, otherEngine)}`,
 			`${at(4)} event=request.ended vm=${vm} request=${request} outcome=refused engines=""`,
 		];
-		this.seen.set('lines', lines.map(parseLogLine));
+		this.state.set('lines', lines.map(parseLogLine));
 	},
 );
 
@@ -253,7 +253,7 @@
 		const file = path.join(os.tmpdir(), `find-${process.pid}.log`);
 		// Newest first: `find` must not depend on the order of lines.
 		await fs.writeFile(file, [...lines.reverse(), other, 'not a log line'].join('\n'));
-		this.seen.set('file', file);
+		this.state.set('file', file);
 	},
 );
 
--- a/test/steps/relay-placement.steps.ts
+++ b/test/steps/relay-placement.steps.ts
@@ -22,7 +22,7 @@
 	'engines that read {int} tokens per ms and generate one in {int} ms',
 	function (this: FleetWorld, readPerMs: number, answerMsPerToken: number) {
 		const learned = new CostModel().of('pool');
-		this.seen.set('costs', { ...learned, readMsPerToken: 1 / readPerMs, answerMsPerToken });
+		this.state.set('costs', { ...learned, readMsPerToken: 1 / readPerMs, answerMsPerToken });
 	},
 );
 
@@ -47,21 +47,21 @@
 export function startEngines(world: FleetWorld, count: number): void {
 	const fleet = newFleetView(world);
 	const ids = Array.from({ length: count }, (_, index) => `engine-${index}`);
-	world.seen.set('fleet', fleet);
-	world.seen.set(
+	world.state.set('fleet', fleet);
+	world.state.set(
 		'engines',
 		ids.map((id, index) => new Engine({ ...entry(id), address: `10.0.0.${index}:80` })),
 	);
 	const connected = new Set<string>();
-	world.seen.set('connected', connected);
+	world.state.set('connected', connected);
 	const random = { next: () => 0.5, hex: () => '' };
-	world.seen.set('ports', { random });
+	world.state.set('ports', { random });
 	const hasIdleConnection = (address: string) => connected.has(address);
-	world.seen.set(
+	world.state.set(
 		'placement',
 		new EnginePlacement(random, fleet, new CostModel(), hasIdleConnection),
 	);
-	world.seen.set('placed', new Map<string, string[]>());
+	world.state.set('placed', new Map<string, string[]>());
 }
 
 /** Places a prompt; if counted, also records its work like that of a sent request. */
@@ -106,7 +106,7 @@
 		for (let index = 0; index < count; index++) {
 			const own = { id: `own-${index}`, tokens: promptTokens - sharedTokens };
 			const segments = [{ id: 'shared', tokens: sharedTokens }, own];
-			this.seen.set('last', place(this, { segments, promptTokens }, 'prompt'));
+			this.state.set('last', place(this, { segments, promptTokens }, 'prompt'));
 		}
 	},
 );
@@ -115,7 +115,7 @@
 	'the engine of the first prompt has {int} prompt tokens queued',
 	function (this: FleetWorld, promptTokens: number) {
 		const { engine } = seen<Placement>(this, 'last');
-		this.seen.set('first', engine);
+		this.state.set('first', engine);
 		seen<FleetView>(this, 'fleet').changeWork(engine.id, { promptTokens });
 	},
 );
@@ -176,7 +176,7 @@
 		const req = platform.decodeRequest(head, Buffer.from('')) as CallerRequest;
 		const call = { address: '10.0.0.2:1', engineId: 'b', req, deadlineMs: 1, urgency: 1 };
 		const copyFrom = seen<Engine>(this, 'first').registration.address;
-		this.seen.set('head', platform.encodeCall({ ...call, copyFrom }));
+		this.state.set('head', platform.encodeCall({ ...call, copyFrom }));
 	},
 );
 
@@ -215,7 +215,7 @@
 cucumber.Given(
 	'a demand of {int} engines by short and {int} by long prompts',
 	function (this: FleetWorld, short: number, long: number) {
-		this.seen.set('demand', { short, long });
+		this.state.set('demand', { short, long });
 	},
 );
 
@@ -247,7 +247,7 @@
 			{ id: 'b', tokens: promptTokens - 10 },
 		];
 		const req = { segments, promptTokens, targetMs, isLeastUrgentTier: true };
-		this.seen.set('last', place(this, req, 'huge', false));
+		this.state.set('last', place(this, req, 'huge', false));
 	},
 );
 
@@ -307,7 +307,7 @@
 	for (let index = 0; index < 3; index++) {
 		health.recordFailure(clockOf(this).now);
 	}
-	this.seen.set('health', health);
+	this.state.set('health', health);
 });
 
 cucumber.Given('an engine that rejected 3 requests in a row', function (this: FleetWorld) {
@@ -315,7 +315,7 @@
 	for (let index = 0; index < 3; index++) {
 		health.recordRejection(clockOf(this).now);
 	}
-	this.seen.set('health', health);
+	this.state.set('health', health);
 });
 
 cucumber.Given(
@@ -324,7 +324,7 @@
 		const health = new EngineHealth();
 		health.recordSent(clockOf(this).now, 0);
 		clockOf(this).now += ms;
-		this.seen.set('health', health);
+		this.state.set('health', health);
 	},
 );
 
@@ -379,7 +379,7 @@
 			const id = copyFrom?.id ?? 'none';
 			sources.set(id, (sources.get(id) ?? 0) + 1);
 		}
-		this.seen.set('sources', sources);
+		this.state.set('sources', sources);
 	},
 );
 
--- a/test/steps/relay-routing.steps.ts
+++ b/test/steps/relay-routing.steps.ts
@@ -24,7 +24,7 @@
 			const [host = '', pathPrefix = ''] = name.split(' ');
 			return route({ name, host, pathPrefix });
 		});
-		this.seen.set('table', new RouteTable(configuration({ routes })));
+		this.state.set('table', new RouteTable(configuration({ routes })));
 	},
 );
 
@@ -47,7 +47,7 @@
 	function (this: FleetWorld, a: number, b: number, c: number, d: number) {
 		const routes = [a, b].map((tier) => route({ name: `${tier}`, tier }));
 		const customers = [c, d].map((tier) => ({ name: `${tier}`, keys: [], tier }));
-		this.seen.set('table', new RouteTable(configuration({ routes, customers })));
+		this.state.set('table', new RouteTable(configuration({ routes, customers })));
 	},
 );
 
@@ -66,7 +66,7 @@
 	'a retry budget of {float} and {int} in 10 s shared by {int} VMs',
 	function (this: FleetWorld, ratio: number, extra: number, vms: number) {
 		const budget = new RetryBudget({ ratio, extra, windowMs: 10_000 }, () => vms);
-		this.seen.set('budget', budget);
+		this.state.set('budget', budget);
 	},
 );
 
@@ -97,7 +97,7 @@
 			onApplied() {},
 		});
 		state.applyIfNewer(JSON.stringify({ version, routes: [], services: [] }), 'test');
-		this.seen.set('state', state);
+		this.state.set('state', state);
 	},
 );
 
--- a/test/steps/relay-start.steps.ts
+++ b/test/steps/relay-start.steps.ts
@@ -20,7 +20,7 @@
 	const startup: Partial<Start> = { isLoaded: false, processed: [], heldIds: [] };
 	const isLoaded = () => startup.isLoaded === true;
 	startup.queue = new StartupQueue({ clock: clockOf(world), log: silentLog, isLoaded });
-	world.seen.set('start', startup);
+	world.state.set('start', startup);
 }
 
 /** @returns a function that disconnects the caller */
--- a/test/steps/relay-transfers.steps.ts
+++ b/test/steps/relay-transfers.steps.ts
@@ -66,7 +66,7 @@
 			return end(...args);
 		};
 	});
-	world.seen.set('sends', sends);
+	world.state.set('sends', sends);
 }
 
 async function addressOf(server: net.Server): Promise<string> {
@@ -84,8 +84,8 @@
 		source.server.removeAllListeners('request');
 		countSends(this, source);
 		source.server.on('request', serve as (...args: unknown[]) => void);
-		this.seen.set('text', text);
-		this.seen.set('source', await addressOf(source.server));
+		this.state.set('text', text);
+		this.state.set('source', await addressOf(source.server));
 	},
 );
 
@@ -100,14 +100,14 @@
 				socket.destroy();
 			}
 		});
-		this.seen.set('unresponsive', await addressOf(server));
+		this.state.set('unresponsive', await addressOf(server));
 	},
 );
 
 cucumber.When('{int} VMs fetch it concurrently', async function (this: FleetWorld, count: number) {
 	const members = Array.from({ length: count }, () => createTransfers(this));
 	const source = seen<string>(this, 'source');
-	this.seen.set('received', await Promise.all(members.map((vm) => vm.fetch(source, path))));
+	this.state.set('received', await Promise.all(members.map((vm) => vm.fetch(source, path))));
 	for (const vm of members) {
 		vm.close();
 	}
@@ -118,7 +118,7 @@
 	'a VM fetches the configuration from the unresponsive VM',
 	function (this: FleetWorld) {
 		const member = createTransfers(this);
-		this.seen.set('member', member);
+		this.state.set('member', member);
 		void member.fetch(seen<string>(this, 'unresponsive'), path);
 	},
 );
@@ -126,7 +126,7 @@
 cucumber.When('{int} ms later from the other VM', async function (this: FleetWorld, ms: number) {
 	await new Promise((done) => setTimeout(done, ms));
 	const member = seen<PeerTransfers>(this, 'member');
-	this.seen.set('received', [await member.fetch(seen<string>(this, 'source'), path)]);
+	this.state.set('received', [await member.fetch(seen<string>(this, 'source'), path)]);
 });
 
 cucumber.Then('each received the unchanged configuration', function (this: FleetWorld) {
@@ -169,8 +169,8 @@
 		relayServer.server.close();
 		relayServer.server.closeAllConnections();
 	});
-	this.seen.set('forwarded', forwarded);
-	this.seen.set('server', await addressOf(relayServer.server));
+	this.state.set('forwarded', forwarded);
+	this.state.set('server', await addressOf(relayServer.server));
 });
 
 async function connect(address: string): Promise<net.Socket> {
--- a/test/steps/relay-vms.steps.ts
+++ b/test/steps/relay-vms.steps.ts
@@ -63,17 +63,17 @@
 
 cucumber.Given('the store turns VM {int} away', function (this: FleetWorld, vm: number) {
 	const { address } = fixtureOf(this).vms[vm - 1] as Vm;
-	fixtureOf(this).store.turnAway(address);
+	fixtureOf(this).store.refuseVm(address);
 });
 
 cucumber.When(
 	'the store forgets its history while engine {string} leaves',
 	async function (this: FleetWorld, id: string) {
 		const { store } = fixtureOf(this);
-		store.failWith = 503;
+		store.failureStatus = 503;
 		store.remove(`servers/${id}`);
 		store.compact();
-		store.failWith = undefined;
+		store.failureStatus = undefined;
 		// The engine stays usable for two seconds, since an outage may have removed its registration.
 		await new Promise((done) => setTimeout(done, 3000));
 	},
@@ -94,9 +94,9 @@
 	'the store is not asked for all engines within {int} ms',
 	async function (this: FleetWorld, ms: number) {
 		const { store } = fixtureOf(this);
-		const before = store.rangesOf('servers/');
+		const before = store.countRangeReads('servers/');
 		await new Promise((done) => setTimeout(done, ms));
-		assert.equal(store.rangesOf('servers/') - before, 0);
+		assert.equal(store.countRangeReads('servers/') - before, 0);
 	},
 );
 
@@ -115,20 +115,20 @@
 	async function (this: FleetWorld, id: string, ms: number) {
 		const fixture = fixtureOf(this);
 		await new Promise((done) => setTimeout(done, ms));
-		const before = engineOf(this, id).seen.length;
+		const before = engineOf(this, id).receivedRequests.length;
 		const sent = fixture.vms.flatMap((vm) =>
 			[1, 2, 3].map(() => fixture.send('GET /plain/', '', { vm })),
 		);
 		const statuses = (await Promise.all(sent)).map((answer) => answer.status);
 		assert.ok(statuses.every((status) => status === 200));
-		assert.equal(engineOf(this, id).seen.length, before);
+		assert.equal(engineOf(this, id).receivedRequests.length, before);
 	},
 );
 
 cucumber.When('a stream is on its way as the VM is stopped', async function (this: FleetWorld) {
 	const fixture = fixtureOf(this);
 	const { answer } = fixture.open('POST /stream/once/');
-	await until(() => engineOf(this, 'a').seen.length > 0);
+	await until(() => engineOf(this, 'a').receivedRequests.length > 0);
 	firstVm(this).process.kill('SIGTERM');
 	fixture.answers.push(await answer);
 });
@@ -150,12 +150,12 @@
 	async function (this: FleetWorld, vm: number, id: string, ms: number) {
 		const fixture = fixtureOf(this);
 		await new Promise((done) => setTimeout(done, ms));
-		const before = engineOf(this, id).seen.length;
+		const before = engineOf(this, id).receivedRequests.length;
 		for (let sent = 0; sent < 10; sent++) {
 			const answer = await fixture.send('GET /plain/', '', { vm: fixture.vms[vm - 1] });
 			assert.equal(answer.status, 200);
 		}
-		assert.equal(engineOf(this, id).seen.length, before);
+		assert.equal(engineOf(this, id).receivedRequests.length, before);
 	},
 );
 
@@ -164,7 +164,7 @@
 	async function (this: FleetWorld) {
 		const fixture = fixtureOf(this);
 		const address = '127.0.0.12';
-		fixture.store.turnAway(address);
+		fixture.store.refuseVm(address);
 		const first = firstVm(this);
 		const seeds = [`${first.address}:9`];
 		fixture.vms.push(await fixture.startVm(address, 'vm-2', first.ports, { seeds }));
@@ -195,7 +195,7 @@
 );
 
 cucumber.Given('a store that withholds the engines', function (this: FleetWorld) {
-	fixtureOf(this).store.withheld = 'servers/';
+	fixtureOf(this).store.withheldPrefix = 'servers/';
 });
 
 cucumber.When('a configuration comes', function (this: FleetWorld) {
@@ -203,7 +203,7 @@
 });
 
 cucumber.When('the store tells the engines', function (this: FleetWorld) {
-	fixtureOf(this).store.withheld = undefined;
+	fixtureOf(this).store.withheldPrefix = undefined;
 });
 
 cucumber.Then('the VM is ready within {int} ms', async function (this: FleetWorld, ms: number) {
@@ -281,7 +281,7 @@
 	'its process is killed, its lease ends and it is started again',
 	async function (this: FleetWorld) {
 		await stopProcess(this, 'SIGKILL');
-		fixtureOf(this).store.endLeases();
+		fixtureOf(this).store.expireLeases();
 		await restart(this);
 	},
 );
@@ -300,6 +300,6 @@
 cucumber.Then(
 	'the last engines were read by a call that may be seconds old',
 	function (this: FleetWorld) {
-		assert.equal(fixtureOf(this).store.wasStale('servers/'), true);
+		assert.equal(fixtureOf(this).store.allowedStaleEntries('servers/'), true);
 	},
 );
--- a/test/steps/relay-world.ts
+++ b/test/steps/relay-world.ts
@@ -151,7 +151,7 @@
 		goneMs: number,
 		backMs: number,
 	) {
-		engine.crashesOn = body;
+		engine.crashBody = body;
 		engine.onCrash = () => {
 			const start = async () => {
 				const next = new PlatformEngineStandIn(`${engine.id}-${this.engines.size}`);
@@ -166,7 +166,7 @@
 
 	/** Number of requests with this body that reached engines. */
 	countReached(body: string): number {
-		const seen = [...this.engines.values()].flatMap((engine) => engine.seen);
+		const seen = [...this.engines.values()].flatMap((engine) => engine.receivedRequests);
 		return seen.filter((request) => request.body === body).length;
 	}
 
--- a/test/steps/relay.steps.ts
+++ b/test/steps/relay.steps.ts
@@ -32,21 +32,23 @@
 cucumber.Given(
 	'engine {string} sends an event every {int} ms',
 	function (this: FleetWorld, id: string, ms: number) {
-		engineOf(this, id).pauseMs = ms;
+		engineOf(this, id).eventIntervalMs = ms;
 	},
 );
 
 cucumber.Given(
 	'engine {string} takes {int} ms to answer',
 	function (this: FleetWorld, id: string, ms: number) {
-		engineOf(this, id).delayMs = ms;
+		engineOf(this, id).answerDelayMs = ms;
 	},
 );
 
 cucumber.Then(
 	'engine {string} completed {int} requests',
 	function (this: FleetWorld, id: string, count: number) {
-		const completed = engineOf(this, id).seen.filter((request) => !request.left);
+		const completed = engineOf(this, id).receivedRequests.filter(
+			(request) => !request.hasCallerLeft,
+		);
 		assert.equal(completed.length, count);
 	},
 );
@@ -93,16 +95,19 @@
 
 cucumber.Then('as many requests ran as were answered with 200', function (this: FleetWorld) {
 	const { answers, engines } = fixtureOf(this);
-	const ran = [...engines.values()].reduce((sum, { seen }) => sum + seen.length, 0);
+	const ran = [...engines.values()].reduce(
+		(sum, { receivedRequests: seen }) => sum + seen.length,
+		0,
+	);
 	assert.equal(ran, answers.filter(({ status }) => status === 200).length);
 });
 
 cucumber.Given('engine {string} drops idle connections', function (this: FleetWorld, id: string) {
-	engineOf(this, id).dropsIdle = true;
+	engineOf(this, id).resetsReusedConnections = true;
 });
 
 cucumber.Given('engine {string} resets new connections', function (this: FleetWorld, id: string) {
-	engineOf(this, id).resetsNew = true;
+	engineOf(this, id).resetsNewConnections = true;
 });
 
 cucumber.When(
@@ -117,7 +122,7 @@
 cucumber.Then(
 	'engine {string} received each body of {int} bytes completely or truncated',
 	function (this: FleetWorld, id: string, bytes: number) {
-		const bodies = engineOf(this, id).seen.map(({ body }) => body);
+		const bodies = engineOf(this, id).receivedRequests.map(({ body }) => body);
 		assert.ok(bodies.length > 0);
 		for (const body of bodies) {
 			const [first = ''] = body;
@@ -229,7 +234,7 @@
 cucumber.Then(
 	'engine {string} saw {string} with body {string}',
 	function (this: FleetWorld, id: string, call: string, body: string) {
-		const [seen] = engineOf(this, id).seen;
+		const [seen] = engineOf(this, id).receivedRequests;
 		assert.equal(`${seen?.method} ${seen?.url}`, call);
 		assert.equal(seen?.body, body);
 	},
@@ -238,7 +243,7 @@
 cucumber.Then(
 	'engine {string} saw the customer {string} but no key',
 	function (this: FleetWorld, id: string, customer: string) {
-		const [seen] = engineOf(this, id).seen;
+		const [seen] = engineOf(this, id).receivedRequests;
 		assert.equal(seen?.headers['slategauge-tenant'], customer);
 		assert.equal(seen?.headers.authorization, undefined);
 	},
@@ -247,7 +252,7 @@
 cucumber.Then(
 	'engine {string} received its own id as the expected one and less time than the caller has',
 	function (this: FleetWorld, id: string) {
-		const [seen] = engineOf(this, id).seen;
+		const [seen] = engineOf(this, id).receivedRequests;
 		assert.equal(seen?.headers['slategauge-expect-instance'], id);
 		assert.ok(Number(seen?.headers['slategauge-deadline-ms']) <= 1200);
 	},
@@ -255,22 +260,22 @@
 
 cucumber.Then('{int} requests ran', function (this: FleetWorld, count: number) {
 	const engines = [...fixtureOf(this).engines.values()];
-	const ran = engines.reduce((sum, engine) => sum + engine.seen.length, 0);
+	const ran = engines.reduce((sum, engine) => sum + engine.receivedRequests.length, 0);
 	assert.equal(ran, count);
 });
 
 cucumber.Then(
 	'engine {string} ran {int} requests',
 	function (this: FleetWorld, id: string, count: number) {
-		assert.equal(engineOf(this, id).seen.length, count);
+		assert.equal(engineOf(this, id).receivedRequests.length, count);
 	},
 );
 
 cucumber.Then(
 	'engine {string} is free within {int} ms',
 	async function (this: FleetWorld, id: string, ms: number) {
-		await until(() => engineOf(this, id).seen.every((seen) => seen.left), ms);
-		assert.equal(engineOf(this, id).seen.length, 1);
+		await until(() => engineOf(this, id).receivedRequests.every((seen) => seen.hasCallerLeft), ms);
+		assert.equal(engineOf(this, id).receivedRequests.length, 1);
 	},
 );
 
--- a/test/steps/replay.steps.ts
+++ b/test/steps/replay.steps.ts
@@ -9,13 +9,13 @@
 import * as cucumber from '@cucumber/cucumber';
 import { lakeshore } from '../../bench/deployments.js';
 import { customerApiKey, peerToken } from '../../bench/fleet.js';
-import { run } from './programs.steps.js';
+import { runProgram } from './programs.steps.js';
 import type { FleetWorld } from './world.js';
 
 const morningTracePath = 'test/fixtures/lakeshore-morning.jsonl';
 
 function globalArgs(world: FleetWorld): string[] {
-	const daemon = `127.0.0.1:${world.running.daemons[0]?.controlPort}`;
+	const daemon = `127.0.0.1:${world.runningFleet.daemons[0]?.controlPort}`;
 	return ['--daemon', daemon, '--token', peerToken];
 }
 
@@ -27,10 +27,10 @@
 	const keyEntries = lakeshore.customers.map(({ name }) => [name, customerApiKey(name)]);
 	await fs.writeFile(trace, `${lines.join('\n')}\n`);
 	await fs.writeFile(keys, JSON.stringify(Object.fromEntries(keyEntries)));
-	const daemonArgs = world.running.daemonUrls.flatMap((url) => ['--to', url]);
+	const daemonArgs = world.runningFleet.daemonUrls.flatMap((url) => ['--to', url]);
 	const args = ['replay', trace, '--keys', keys, '--results', results, ...daemonArgs];
-	world.seen.set('dir', dir);
-	world.seen.set('ran', await run('slategauge', [...args, ...globalArgs(world)]));
+	world.state.set('dir', dir);
+	world.state.set('ran', await runProgram('slategauge', [...args, ...globalArgs(world)]));
 }
 
 cucumber.When(
@@ -49,13 +49,13 @@
 );
 
 async function generatePage(world: FleetWorld, args: (page: string) => string[]): Promise<void> {
-	const page = path.join(String(world.seen.get('dir')), 'page.html');
-	world.seen.set('ran', await run('slategauge', [...args(page), ...globalArgs(world)]));
-	world.seen.set('page', await fs.readFile(page, 'utf8'));
+	const page = path.join(String(world.state.get('dir')), 'page.html');
+	world.state.set('ran', await runProgram('slategauge', [...args(page), ...globalArgs(world)]));
+	world.state.set('page', await fs.readFile(page, 'utf8'));
 }
 
 cucumber.When('the operator makes a report of it', async function (this: FleetWorld) {
-	const results = path.join(String(this.seen.get('dir')), 'results.jsonl');
+	const results = path.join(String(this.state.get('dir')), 'results.jsonl');
 	await generatePage(this, (page) => ['report', results, '--out', page]);
 });
 
@@ -64,13 +64,13 @@
 });
 
 cucumber.Then('the page has a chart of {string}', function (this: FleetWorld, title: string) {
-	const page = String(this.seen.get('page'));
+	const page = String(this.state.get('page'));
 	assert.match(page, new RegExp(`<h2>${title}`));
 	assert.match(page, /<polyline/);
 });
 
 cucumber.Then('the page has a lane for {string}', function (this: FleetWorld, lane: string) {
-	const page = String(this.seen.get('page'));
+	const page = String(this.state.get('page'));
 	assert.match(page, new RegExp(`>${lane}</text>`));
 	assert.match(page, /<rect/);
 });
--- a/test/steps/soak.steps.ts
+++ b/test/steps/soak.steps.ts
@@ -101,13 +101,13 @@
 		records.arrivals.push(arrival('x', { engine: 'e9' }));
 	},
 	'sends requests to an engine that announced leaving': (records) => {
-		const notice = { at: startMs, leaving: true, restMs: 0 };
+		const notice = { at: startMs, isDraining: true, backOffMs: 0 };
 		records.arrivals.push(arrival('a', { notice }));
 		records.requests.push(request({ id: 'x', sentAt: startMs + 2500 }));
 		records.arrivals.push(arrival('x', { at: startMs + 2510 }));
 	},
 	'ignores the back-off of an engine': (records) => {
-		const notice = { at: startMs, leaving: false, restMs: 3000 };
+		const notice = { at: startMs, isDraining: false, backOffMs: 3000 };
 		records.arrivals.push(arrival('e', { notice, rejected: true }));
 		for (const id of ['x', 'y', 'z']) {
 			records.requests.push(request({ id, sentAt: startMs + 1000 }));
@@ -115,7 +115,7 @@
 		}
 	},
 	"does not share an engine's limit between VMs": (records) => {
-		const notice = { at: startMs, leaving: false, restMs: 0, limitPerS: 2 };
+		const notice = { at: startMs, isDraining: false, backOffMs: 0, limitPerS: 2 };
 		records.announcedLimits.push({
 			engine: 'e1',
 			limitPerS: 2,
@@ -175,24 +175,24 @@
 cucumber.Given('records of a run in which all guarantees hold', function (this: FleetWorld) {
 	const records = recordsWithoutViolation();
 	assert.deepEqual(checkGuarantees(records), []);
-	this.seen.set('records', records);
+	this.state.set('records', records);
 });
 
 for (const [name, apply] of Object.entries(defects)) {
 	cucumber.When(`the relay ${name}`, function (this: FleetWorld) {
-		apply(this.seen.get('records') as SoakRecords);
+		apply(this.state.get('records') as SoakRecords);
 	});
 }
 
 cucumber.When('the VM was paused meanwhile', function (this: FleetWorld) {
 	const pause = { target: 'vm-1', fault: 'paused', from: 9500, until: 19_000, planned: false };
-	(this.seen.get('records') as SoakRecords).injectedFaults.push(pause);
+	(this.state.get('records') as SoakRecords).injectedFaults.push(pause);
 });
 
 cucumber.Then(
 	'the oracle reports a violation of {string} only',
 	function (this: FleetWorld, guarantee: keyof typeof guarantees) {
-		const findings = checkGuarantees(this.seen.get('records') as SoakRecords);
+		const findings = checkGuarantees(this.state.get('records') as SoakRecords);
 		assert.deepEqual(
 			[...new Set(findings.map((finding) => finding.guarantee))],
 			[guarantees[guarantee]],
@@ -201,7 +201,7 @@
 );
 
 cucumber.Then('the oracle reports no finding', function (this: FleetWorld) {
-	assert.deepEqual(checkGuarantees(this.seen.get('records') as SoakRecords), []);
+	assert.deepEqual(checkGuarantees(this.state.get('records') as SoakRecords), []);
 });
 
 /** A connection through the proxy to an echo server. */
@@ -213,7 +213,7 @@
 }
 
 function echoOf(world: FleetWorld): Echo {
-	return world.seen.get('echo') as Echo;
+	return world.state.get('echo') as Echo;
 }
 
 cucumber.Given('an echo server behind a proxy', async function (this: FleetWorld) {
@@ -229,11 +229,11 @@
 	});
 	socket.on('close', () => server.close());
 	socket.on('error', () => {});
-	this.seen.set('echo', echo);
+	this.state.set('echo', echo);
 });
 
 cucumber.After(function (this: FleetWorld) {
-	(this.seen.get('echo') as Echo | undefined)?.proxy.stop();
+	(this.state.get('echo') as Echo | undefined)?.proxy.stop();
 });
 
 cucumber.Then(
@@ -284,13 +284,13 @@
 	async function (this: FleetWorld, seed: number, seconds: number, vms: number) {
 		const out = fs.mkdtempSync(path.join(os.tmpdir(), 'soak-'));
 		const size = { vms, engines: 4, callers: 12, concurrentFaults: 3 };
-		this.seen.set('result', await runSoak({ ...size, seed, seconds, out }));
+		this.state.set('result', await runSoak({ ...size, seed, seconds, out }));
 		fs.rmSync(out, { recursive: true });
 	},
 );
 
 cucumber.Then('the run has no findings and served requests', function (this: FleetWorld) {
-	const { findings, served } = this.seen.get('result') as SoakResult;
+	const { findings, served } = this.state.get('result') as SoakResult;
 	assert.deepEqual(findings, []);
 	assert.ok(served > 0);
 });
@@ -319,7 +319,7 @@
 		const { port } = server.address() as net.AddressInfo;
 		const proxy = new LoopbackProxy({ host: '127.0.0.1', port });
 		const [, proxyPort] = (await proxy.start()).split(':');
-		this.seen.set('echo', { proxy, port: Number(proxyPort) });
+		this.state.set('echo', { proxy, port: Number(proxyPort) });
 	},
 );
 
--- a/test/steps/store-restored.steps.ts
+++ b/test/steps/store-restored.steps.ts
@@ -6,7 +6,7 @@
 import * as cucumber from '@cucumber/cucumber';
 import { StoreError, storeFailures } from '../../src/core/store/definitions.js';
 import { PlatformStore } from '../../src/platform/store-client.js';
-import type { StoreCopy } from '../stand-ins/platform-store.js';
+import type { StoreSnapshot } from '../stand-ins/platform-store.js';
 import {
 	assertConsistentReports,
 	assertOneHolderPerToken,
@@ -23,31 +23,31 @@
 const key = 'notes/one';
 
 cucumber.Given('a copy of the store is taken', function (this: FleetWorld) {
-	this.seen.set('copy', fixtureOf(this).store.copy());
+	this.state.set('copy', fixtureOf(this).store.createSnapshot());
 });
 
 cucumber.Given(
 	'a copy of the store is taken that lacks the registrations of VMs',
 	function (this: FleetWorld) {
-		this.seen.set('copy', withoutVms(fixtureOf(this).store.copy()));
+		this.state.set('copy', withoutVms(fixtureOf(this).store.createSnapshot()));
 	},
 );
 
 cucumber.Given(
 	'a copy of the store is taken that lacks the registrations of VMs and leases',
 	function (this: FleetWorld) {
-		const copy = withoutVms(fixtureOf(this).store.copy());
-		this.seen.set('copy', { ...copy, leases: new Map() });
+		const copy = withoutVms(fixtureOf(this).store.createSnapshot());
+		this.state.set('copy', { ...copy, leases: new Map() });
 	},
 );
 
-function withoutVms(copy: StoreCopy): StoreCopy {
+function withoutVms(copy: StoreSnapshot): StoreSnapshot {
 	const items = [...copy.items].filter(([name]) => !name.startsWith(vmPrefix));
 	return { ...copy, items: new Map(items) };
 }
 
 cucumber.When('the store is restored from the copy', async function (this: FleetWorld) {
-	fixtureOf(this).store.restore(seen<StoreCopy>(this, 'copy'));
+	fixtureOf(this).store.restore(seen<StoreSnapshot>(this, 'copy'));
 	// Lets the VMs detect the closed connections.
 	await new Promise((done) => setTimeout(done, 100));
 });
@@ -89,7 +89,7 @@
 	const { store } = fixtureOf(this);
 	await store.start();
 	const [host = '', port = ''] = (await store.addressFor('127.0.0.1')).split(':');
-	this.seen.set('client', new PlatformStore({ host, port: Number(port) }, new ManualClock()));
+	this.state.set('client', new PlatformStore({ host, port: Number(port) }, new ManualClock()));
 });
 
 async function revisionOf(client: PlatformStore): Promise<number> {
@@ -103,7 +103,7 @@
 		for (let index = 0; index < times; index++) {
 			await client.put(key, String(index), 0);
 		}
-		this.seen.set('revision', await revisionOf(client));
+		this.state.set('revision', await revisionOf(client));
 	},
 );
 
--- a/test/steps/streams.steps.ts
+++ b/test/steps/streams.steps.ts
@@ -35,7 +35,7 @@
 ): Promise<Answer> {
 	const prompt = `stream ${index} len=${tokens}`;
 	const answer: Answer = { prompt, text: '' };
-	const urls = world.running.daemonUrls;
+	const urls = world.runningFleet.daemonUrls;
 	const client = new OpenAI({
 		baseURL: `${urls[index % urls.length]}/v1`,
 		apiKey: customerApiKey('listener-app'),
@@ -79,10 +79,10 @@
 		const all = Array.from({ length: callers }, (_, index) =>
 			stream(world, index, tokens, () => begun(index)),
 		);
-		world.seen.set('streams', Promise.all(all));
+		world.state.set('streams', Promise.all(all));
 	});
 	await faulted;
-	world.seen.set('answers', await world.seen.get('streams'));
+	world.state.set('answers', await world.state.get('streams'));
 }
 
 cucumber.When(
@@ -95,7 +95,7 @@
 cucumber.When(
 	'{int} callers stream answers of {int} tokens and engine {int} is killed midway',
 	async function (this: FleetWorld, callers: number, tokens: number, engine: number) {
-		const proc = this.running.engines[engine - 1];
+		const proc = this.runningFleet.engines[engine - 1];
 		assert.ok(proc);
 		await streamAll(this, callers, tokens, () => stopProcess(proc));
 	},
@@ -104,15 +104,17 @@
 cucumber.When(
 	'{int} callers stream answers of {int} tokens and engine {int} stalls midway',
 	async function (this: FleetWorld, callers: number, tokens: number, engine: number) {
-		const proc = this.running.engines[engine - 1];
-		await streamAll(this, callers, tokens, () => this.running.setFaults(proc, { stalled: true }));
+		const proc = this.runningFleet.engines[engine - 1];
+		await streamAll(this, callers, tokens, () =>
+			this.runningFleet.setFaults(proc, { stalled: true }),
+		);
 	},
 );
 
 cucumber.When(
 	'{int} callers stream answers of {int} tokens and daemon {int} receives SIGTERM midway',
 	async function (this: FleetWorld, callers: number, tokens: number, daemon: number) {
-		const proc = this.running.daemons[daemon - 1];
+		const proc = this.runningFleet.daemons[daemon - 1];
 		assert.ok(proc);
 		await streamAll(this, callers, tokens, async () => {
 			proc.child.kill('SIGTERM');
@@ -120,31 +122,31 @@
 				await new Promise((wake) => setTimeout(wake, 5));
 			}
 			const res = await fetch(`http://127.0.0.1:${proc.port}/readyz`);
-			this.seen.set('ready while stopping', res.status);
+			this.state.set('ready while stopping', res.status);
 		});
 		if (proc.child.exitCode === null) {
 			await new Promise((done) => proc.child.once('exit', done));
 		}
-		this.seen.set('exit code', proc.child.exitCode);
+		this.state.set('exit code', proc.child.exitCode);
 	},
 );
 
 cucumber.When(
 	'{int} callers stream answers of {int} tokens and the VM list marks VM {int} as leaving',
 	async function (this: FleetWorld, callers: number, tokens: number, vm: number) {
-		const proc = this.running.daemons[vm - 1];
+		const proc = this.runningFleet.daemons[vm - 1];
 		assert.ok(proc);
-		await streamAll(this, callers, tokens, () => this.running.registerVm(proc, 'leaving'));
+		await streamAll(this, callers, tokens, () => this.runningFleet.registerVm(proc, 'leaving'));
 		const ready = `http://127.0.0.1:${proc.port}/readyz`;
 		while ((await fetch(ready)).status === 200) {
 			await new Promise((wake) => setTimeout(wake, 50));
 		}
-		this.seen.set('ready while stopping', (await fetch(ready)).status);
+		this.state.set('ready while stopping', (await fetch(ready)).status);
 	},
 );
 
 cucumber.Then('every answer is whole', function (this: FleetWorld) {
-	for (const answer of this.seen.get('answers') as Answer[]) {
+	for (const answer of this.state.get('answers') as Answer[]) {
 		assert.equal(answer.error, undefined);
 		assert.equal(answer.text, wholeAnswer(answer.prompt));
 	}
@@ -153,7 +155,7 @@
 cucumber.Then(
 	'every answer is whole or ends with an error that says {string}',
 	function (this: FleetWorld, _outcome: string) {
-		for (const answer of this.seen.get('answers') as Answer[]) {
+		for (const answer of this.state.get('answers') as Answer[]) {
 			const whole = answer.text === wholeAnswer(answer.prompt);
 			assert.ok(whole || answer.error?.includes('broke off'), JSON.stringify(answer));
 		}
@@ -161,7 +163,7 @@
 );
 
 cucumber.Then('no incomplete answer ended cleanly', function (this: FleetWorld) {
-	const answers = this.seen.get('answers') as Answer[];
+	const answers = this.state.get('answers') as Answer[];
 	assert.ok(answers.some((answer) => answer.error !== undefined));
 	for (const answer of answers) {
 		const isPrefix = wholeAnswer(answer.prompt).startsWith(answer.text);
@@ -173,13 +175,13 @@
 cucumber.Then(
 	'daemon {int} ended with exit code {int}',
 	function (this: FleetWorld, _daemon: number, code: number) {
-		assert.equal(this.seen.get('exit code'), code);
+		assert.equal(this.state.get('exit code'), code);
 	},
 );
 
 cucumber.Then(
 	'daemon {int} refused new requests while it was stopping',
 	function (this: FleetWorld, _daemon: number) {
-		assert.equal(this.seen.get('ready while stopping'), 503);
+		assert.equal(this.state.get('ready while stopping'), 503);
 	},
 );
--- a/test/steps/suspension.steps.ts
+++ b/test/steps/suspension.steps.ts
@@ -47,7 +47,7 @@
 	function (this: FleetWorld, aheadMs: number) {
 		const meter = new SuspensionMeter();
 		meter.sample(0, aheadMs);
-		this.seen.set('clocks', { monotonicMs: 0, aheadMs, meter });
+		this.state.set('clocks', { monotonicMs: 0, aheadMs, meter });
 	},
 );
 
@@ -100,8 +100,8 @@
 			onStoreUnreachable() {},
 		});
 		void registry.run();
-		this.seen.set('sleeps', sleeps);
-		this.seen.set('renewals', renewals);
+		this.state.set('sleeps', sleeps);
+		this.state.set('renewals', renewals);
 		// Ends the pause before the second read of the registered VMs.
 		await flushTasks();
 		sleeps.waiting.shift()?.end();
@@ -126,7 +126,7 @@
 		const reader = { address: '10.0.0.2:1', contactAgeMs: 0, revision: 1, digest: 1, dutyToken: 0 };
 		fleet.receive(gossipMessage({ storeReaders: [reader] }));
 		assert.equal(fleet.countStoreReaders(1500), 1);
-		this.seen.set('fleet', fleet);
+		this.state.set('fleet', fleet);
 	},
 );
 
@@ -162,8 +162,8 @@
 	answers.shift()?.();
 	await flushTasks();
 	assert.equal(follower.isReachable, true);
-	this.seen.set('follower', follower);
-	this.seen.set('answers', answers);
+	this.state.set('follower', follower);
+	this.state.set('answers', answers);
 });
 
 cucumber.When('it wakes from a suspension', async function (this: FleetWorld) {
@@ -226,7 +226,7 @@
 		);
 		request.start();
 		inFlight.listeners[0]?.onSent();
-		this.seen.set('in flight', inFlight);
+		this.state.set('in flight', inFlight);
 	},
 );
 
--- a/test/steps/world.ts
+++ b/test/steps/world.ts
@@ -13,9 +13,9 @@
 
 export class FleetWorld extends cucumber.World {
 	fleet?: Fleet;
-	cfg?: Configuration;
+	configuration?: Configuration;
 	/** Answers and outcomes by the name that the scenario gives them. */
-	readonly seen = new Map<string, unknown>();
+	readonly state = new Map<string, unknown>();
 
 	async start(
 		daemons: number,
@@ -28,13 +28,13 @@
 		this.fleet = fleet;
 		await fleet.startStandIns(engines, services);
 		await fleet.startDaemons();
-		this.cfg = buildConfiguration(lakeshore, fleet, policy);
-		await fleet.applyConfiguration(this.cfg);
+		this.configuration = buildConfiguration(lakeshore, fleet, policy);
+		await fleet.applyConfiguration(this.configuration);
 		await fleet.waitForStatus((status) => status.members.length === daemons);
 		return fleet;
 	}
 
-	get running(): Fleet {
+	get runningFleet(): Fleet {
 		if (!this.fleet) {
 			throw new Error('no fleet was started');
 		}
