--- a/test/fuzz/commands.ts
+++ b/test/fuzz/commands.ts
@@ -1,145 +1,149 @@
 /**
- * Commands of the fuzz run, and the run itself.
+ * Random commands against a fleet model, and the property test that runs them.
  * @module
  */
 import * as fc from 'fast-check';
 import { classNames, FleetModel } from './fleet-model.js';
 
-/** Seed of the committed runs. */
+/** Default seed, which keeps runs reproducible. */
 export const fuzzSeed = 20261202;
-const daemons = 3;
-const maxCommands = 40;
+const daemonCount = 3;
+const maxCommandsPerRun = 40;
 
 type Command = fc.AsyncCommand<object, FleetModel>;
 
-class Step implements Command {
+class ModelCommand implements Command {
 	constructor(
-		private readonly text: string,
-		private readonly act: (model: FleetModel) => void | Promise<void>,
+		private readonly label: string,
+		private readonly apply: (model: FleetModel) => void | Promise<void>,
 	) {}
 
 	check(): boolean {
 		return true;
 	}
 
-	async run(_abstract: object, model: FleetModel): Promise<void> {
-		await this.act(model);
+	async run(_state: object, model: FleetModel): Promise<void> {
+		await this.apply(model);
 		await model.settle();
 		model.checkInvariants();
 	}
 
 	toString(): string {
-		return this.text;
+		return this.label;
 	}
 }
 
-const index = fc.nat({ max: 7 });
+const anyIndex = fc.nat({ max: 7 });
 
-function pick<T>(items: readonly T[], at: number): T | undefined {
-	return items[at % Math.max(items.length, 1)];
+function pick<T>(items: readonly T[], index: number): T | undefined {
+	return items[index % Math.max(items.length, 1)];
 }
 
 const submit = fc
-	.tuple(index, fc.constantFrom(...classNames), fc.option(fc.constantFrom('k1', 'k2')))
+	.tuple(anyIndex, fc.constantFrom(...classNames), fc.option(fc.constantFrom('k1', 'k2')))
 	.map(
-		([at, cls, key]) =>
-			new Step(`submit(${at},${cls},${key})`, (model) =>
-				model.submit(at, cls, cls === 'post' ? (key ?? undefined) : undefined),
+		([index, cls, key]) =>
+			new ModelCommand(`submit(${index},${cls},${key})`, (model) =>
+				model.submit(index, cls, cls === 'post' ? (key ?? undefined) : undefined),
 			),
 	);
 
-/** Requests of one class that come at once. */
+/** Requests of one class submitted in one command. */
 const burstSize = 10;
 
-const burst = fc.tuple(index, fc.constantFrom('middle' as const, 'low' as const)).map(
-	([at, cls]) =>
-		new Step(`burst(${at},${cls})`, (model) => {
+const submitBurst = fc.tuple(anyIndex, fc.constantFrom('middle' as const, 'low' as const)).map(
+	([index, cls]) =>
+		new ModelCommand(`burst(${index},${cls})`, (model) => {
 			for (let count = 0; count < burstSize; count++) {
-				model.submit(at + count, cls);
+				model.submit(index + count, cls);
 			}
 		}),
 );
 
-const advance = index.map(
-	(at) =>
-		new Step(`advance(${at})`, (model) => {
-			const run = pick(model.endpoints.activeRuns, at);
+const advanceRun = anyIndex.map(
+	(index) =>
+		new ModelCommand(`advance(${index})`, (model) => {
+			const run = pick(model.endpoints.activeRuns, index);
 			if (run) {
 				model.endpoints.advance(run);
 			}
 		}),
 );
 
-const breakRun = index.map(
-	(at) =>
-		new Step(`break(${at})`, (model) => {
-			const run = pick(model.endpoints.activeRuns, at);
+const breakRun = anyIndex.map(
+	(index) =>
+		new ModelCommand(`break(${index})`, (model) => {
+			const run = pick(model.endpoints.activeRuns, index);
 			if (run) {
 				model.endpoints.break(run);
 			}
 		}),
 );
 
-const pass = fc
+const advanceTime = fc
 	.constantFrom(25, 100, 600, 2500, 6000)
-	.map((ms) => new Step(`pass(${ms})`, (model) => model.advanceTime(ms)));
+	.map((ms) => new ModelCommand(`advanceTime(${ms})`, (model) => model.advanceTime(ms)));
 
 const faults = fc.constantFrom(
-	new Step('lose messages', (model) => model.dropMessages()),
-	new Step('double messages', (model) => model.duplicateMessages()),
-	new Step('kv down', (model) => {
+	new ModelCommand('drop messages', (model) => model.dropMessages()),
+	new ModelCommand('duplicate messages', (model) => model.duplicateMessages()),
+	new ModelCommand('kv down', (model) => {
 		model.kv.isDown = true;
 	}),
-	new Step('kv up', (model) => {
+	new ModelCommand('kv up', (model) => {
 		model.kv.isDown = false;
 	}),
-	new Step('kv loses a reply', (model) => {
+	new ModelCommand('kv loses a reply', (model) => {
 		model.kv.repliesToLose = 1;
 	}),
-	new Step('e1 down', (model) => {
+	new ModelCommand('e1 down', (model) => {
 		model.endpoints.unreachableUrls.add('http://127.0.0.1:1');
 	}),
-	new Step('endpoints up', (model) => model.endpoints.unreachableUrls.clear()),
-	new Step('thaw', (model) => model.thaw()),
+	new ModelCommand('endpoints up', (model) => model.endpoints.unreachableUrls.clear()),
+	new ModelCommand('thaw', (model) => model.thaw()),
 );
 
 const memberFaults = fc
-	.tuple(index, fc.boolean())
-	.map(([at, kill]) =>
+	.tuple(anyIndex, fc.boolean())
+	.map(([index, kill]) =>
 		kill
-			? new Step(`kill(${at})`, (model) => model.kill(at))
-			: new Step(`freeze(${at})`, (model) => model.freeze(at)),
+			? new ModelCommand(`kill(${index})`, (model) => model.kill(index))
+			: new ModelCommand(`freeze(${index})`, (model) => model.freeze(index)),
 	);
 
-/** Runs command sequences against the oracle; rejects with the shrunk counterexample. */
+/**
+ * Runs random command sequences against the invariants of the model.
+ * @returns Counts of the covered events by kind
+ * @throws With the shrunk counterexample when an invariant is broken
+ */
 export async function fuzz(
 	runs: number,
 	seed: number,
 	policy: 'granted' | 'independent' = 'granted',
 ): Promise<Map<string, number>> {
-	const covered = new Map<string, number>();
-	const all: fc.Arbitrary<Command>[] = [
+	const eventCounts = new Map<string, number>();
+	const commandArbitraries: fc.Arbitrary<Command>[] = [
 		submit,
 		submit,
-		burst,
-		advance,
-		advance,
+		submitBurst,
+		advanceRun,
+		advanceRun,
 		breakRun,
-		pass,
-		pass,
+		advanceTime,
+		advanceTime,
 		faults,
 		memberFaults,
 	];
 	const property = fc.asyncProperty(
-		fc.commands(all, { maxCommands, size: 'max' }),
+		fc.commands(commandArbitraries, { maxCommands: maxCommandsPerRun, size: 'max' }),
 		async (commands) => {
-			const model = new FleetModel(daemons, policy);
+			const model = new FleetModel(daemonCount, policy);
 			await fc.asyncModelRun(() => ({ model: {}, real: model }), commands);
 			await model.recover();
 			model.checkFinalState();
-			model.countEvents(covered);
+			model.countEvents(eventCounts);
 		},
 	);
 	await fc.assert(property, { numRuns: runs, seed });
-	return covered;
+	return eventCounts;
 }
--- a/test/fuzz/fakes.ts
+++ b/test/fuzz/fakes.ts
@@ -1,6 +1,6 @@
 /**
- * Small fakes at the ports: a clock moved by hand, endpoints whose answers are given by hand, a
- * key-value service that is down or loses replies.
+ * In-memory fakes for tests: a manually advanced clock, endpoints whose answers the test drives,
+ * and a key-value store that can be down or lose replies.
  * @module
  */
 import type {
@@ -39,17 +39,16 @@
 export interface FakeRun {
 	call: EndpointCall;
 	sink: AnswerSink;
-	/** Next token, from 0. */
 	nextTokenIndex: number;
 	isOver: boolean;
 }
 
-/** Tokens of every answer. */
+/** Tokens in every complete answer. */
 export const answerTokens = 4;
 
 export class FakeEndpoints implements EndpointClient {
 	readonly runs: FakeRun[] = [];
-	/** Runs that reached an endpoint, by request id. */
+	/** Number of runs that reached an endpoint, by request id. */
 	readonly runCounts = new Map<string, number>();
 	readonly unreachableUrls = new Set<string>();
 
@@ -84,7 +83,7 @@
 		return this.runs.filter((run) => !run.isOver);
 	}
 
-	/** Gives one token, or the end. */
+	/** Emits the next token, or the end of the answer after the last one. */
 	advance(run: FakeRun): void {
 		run.sink.onHead(200, { 'content-type': 'text/event-stream' });
 		if (run.nextTokenIndex < answerTokens) {
@@ -97,6 +96,7 @@
 		run.sink.onEnd();
 	}
 
+	/** Fails a run as if its connection had broken. */
 	break(run: FakeRun): void {
 		run.isOver = true;
 		run.sink.onError(callFailures.broken, 'cut');
@@ -106,17 +106,18 @@
 export class FakeKv implements KvStore {
 	callCount = 0;
 	isDown = false;
+	/** Number of next writes that take effect and then fail with an error. */
 	repliesToLose = 0;
 	private readonly entries = new Map<string, KvEntry>();
 	private rev = 0;
 
 	async get(key: string): Promise<KvEntry | undefined> {
-		this.check();
+		this.recordCall();
 		return this.entries.get(key);
 	}
 
 	async compareAndSwap(key: string, rev: number, value: string): Promise<KvSwapResult> {
-		this.check();
+		this.recordCall();
 		const current = this.entries.get(key);
 		if ((current?.rev ?? 0) !== rev) {
 			return { swapped: false, current };
@@ -144,12 +145,12 @@
 
 	async revokeLease(): Promise<void> {}
 
-	/** A lease lapsed. */
+	/** Deletes an entry, as when its lease expires. */
 	expire(key: string): void {
 		this.entries.delete(key);
 	}
 
-	private check(): void {
+	private recordCall(): void {
 		this.callCount++;
 		if (this.isDown) {
 			throw new KvError('down');
--- a/test/fuzz/fleet-model.ts
+++ b/test/fuzz/fleet-model.ts
@@ -1,5 +1,5 @@
 /**
- * A few daemons' core logic over fakes at the ports, and the oracle of the promises.
+ * A fleet of daemons that run the real core logic over fakes, and the invariants checked on it.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -25,10 +25,10 @@
 import { answerTokens, FakeClock, FakeEndpoints, FakeKv, noMetrics } from './fakes.js';
 
 export const classNames = ['high', 'middle', 'low', 'post'] as const;
-const slots = 2;
+const slotsPerEndpoint = 2;
 const endpointNames = ['e1', 'e2'];
 
-/** The configuration that every model runs. */
+/** Configuration of all daemons in the model. */
 export const modelConfiguration = configurationSchema.parse({
 	operators: { token_hashes: [hashToken('operator')] },
 	classes: [
@@ -42,14 +42,14 @@
 		name,
 		url: `http://127.0.0.1:${index + 1}`,
 		models: ['m'],
-		slots,
-		max_slots: slots,
+		slots: slotsPerEndpoint,
+		max_slots: slotsPerEndpoint,
 	})),
 });
 
-type Packet = { from: number; to: number; report?: HolderReport; reply?: OwnerReply };
+type Message = { from: number; to: number; report?: HolderReport; reply?: OwnerReply };
 
-/** What a caller got. */
+/** Records the answer that a caller receives. */
 class Caller implements CallerSink {
 	tokens: string[] = [];
 	outcome?: string;
@@ -57,7 +57,7 @@
 	start(): void {}
 
 	writeEvents(events: readonly StreamEvent[]): boolean {
-		assert.equal(this.outcome, undefined, 'an answer went on after its end');
+		assert.equal(this.outcome, undefined, 'events arrived after the end of the answer');
 		this.tokens.push(
 			...events.filter((event) => event.data !== '[DONE]').map((event) => event.data),
 		);
@@ -69,47 +69,47 @@
 	}
 
 	finish(): void {
-		assert.equal(this.outcome, undefined, 'two final words');
+		assert.equal(this.outcome, undefined, 'the answer ended twice');
 		this.outcome = 'complete';
 	}
 
 	fail(_err: UserError, outcome: string): void {
-		assert.equal(this.outcome, undefined, 'two final words');
+		assert.equal(this.outcome, undefined, 'the answer ended twice');
 		this.outcome = outcome;
 	}
 
 	onDrain(): void {}
 }
 
-interface Node {
+interface DaemonNode {
 	id: string;
 	router: Router;
-	desk: OwnedLedgers;
+	ledgers: OwnedLedgers;
 	granted: GrantedPolicy;
 	timeline: Timeline;
-	alive: boolean;
-	frozen: boolean;
-	due: (() => void)[];
-	/** Ends the connections of others to it. */
-	connections: (() => void)[];
+	isAlive: boolean;
+	isFrozen: boolean;
+	deferred: (() => void)[];
+	/** Breaks the connections that other daemons have open to this one. */
+	connectionClosers: (() => void)[];
 }
 
-interface Asked {
+interface Submission {
 	req: Request;
 	caller: Caller;
-	node: Node;
+	node: DaemonNode;
 }
 
 export class FleetModel {
 	readonly clock = new FakeClock();
 	readonly endpoints = new FakeEndpoints();
 	readonly kv = new FakeKv();
-	readonly nodes: Node[];
-	readonly submissions: Asked[] = [];
-	/** Something was lost, killed or frozen: bounds that need a whole network do not apply. */
+	readonly nodes: DaemonNode[];
+	readonly submissions: Submission[] = [];
+	/** Whether a message was lost or a daemon killed or frozen, which suspends the slot limit checks. */
 	hasHadFaults = false;
-	private readonly froze = new Set<string>();
-	private packets: Packet[] = [];
+	private readonly onceFrozen = new Set<string>();
+	private messages: Message[] = [];
 	private nextTicket = 1;
 
 	constructor(
@@ -126,34 +126,34 @@
 			document: modelConfiguration,
 		});
 		for (const node of this.nodes) {
-			node.desk.configure(view, this.clock.now);
+			node.ledgers.configure(view, this.clock.now);
 			node.router.configure(view, policy === 'granted' ? node.granted : new IndependentPolicy());
 		}
 		this.applyMembers();
 	}
 
-	submit(at: number, cls: (typeof classNames)[number], key?: string): void {
-		const node = this.nodes[at % this.nodes.length];
-		if (!node?.alive || node.frozen) {
+	submit(nodeIndex: number, cls: (typeof classNames)[number], key?: string): void {
+		const node = this.nodes[nodeIndex % this.nodes.length];
+		if (!node?.isAlive || node.isFrozen) {
 			return;
 		}
-		const known = modelConfiguration.classes.find((item) => item.name === cls);
-		assert.ok(known);
+		const requestClass = modelConfiguration.classes.find((item) => item.name === cls);
+		assert.ok(requestClass);
 		const now = this.clock.now;
 		const ticket = this.nextTicket++;
 		const req: Request = {
 			id: `r${ticket}`,
 			ticket,
-			cls: known,
+			cls: requestClass,
 			customer: 'c1',
 			weight: 1,
 			target: 'model:m',
-			repeatable: known.repeatable,
+			repeatable: requestClass.repeatable,
 			idempotencyKey: key,
 			arrivedAt: now,
-			firstTokenBy: now + known.first_token_ms,
-			deadlineAt: now + known.deadline_ms,
-			queueTimeoutAt: now + known.deadline_ms,
+			firstTokenBy: now + requestClass.first_token_ms,
+			deadlineAt: now + requestClass.deadline_ms,
+			queueTimeoutAt: now + requestClass.deadline_ms,
 			heldBytes: 10,
 			waitingSince: now,
 			offset: 0,
@@ -165,13 +165,13 @@
 		node.router.submit(req, template, caller);
 	}
 
-	/** Time passes; timers run and messages arrive. */
+	/** Advances the clock in small steps, running timers and delivering messages at each. */
 	async advanceTime(ms: number): Promise<void> {
 		const until = this.clock.now + ms;
 		while (this.clock.now < until) {
 			this.clock.now = Math.min(this.clock.now + 25, until);
 			for (const node of this.nodes) {
-				if (node.alive && !node.frozen) {
+				if (node.isAlive && !node.isFrozen) {
 					node.router.shedExpired();
 				}
 			}
@@ -179,39 +179,39 @@
 		}
 	}
 
-	/** Runs everything that is due until nothing changes. */
+	/** Runs deferred callbacks and delivers messages for a few rounds. */
 	async settle(): Promise<void> {
 		for (let round = 0; round < 4; round++) {
 			for (const node of this.nodes) {
-				if (node.alive && !node.frozen) {
-					this.work(node);
+				if (node.isAlive && !node.isFrozen) {
+					this.runDeferred(node);
 				}
 			}
-			this.deliver();
+			this.deliverMessages();
 			await new Promise<void>((done) => queueMicrotask(done));
 			await Promise.resolve();
 		}
 	}
 
-	/** Loses the messages that are on their way. */
+	/** Drops all messages in flight. */
 	dropMessages(): void {
-		this.hasHadFaults = this.hasHadFaults || this.packets.length > 0;
-		this.packets = [];
+		this.hasHadFaults = this.hasHadFaults || this.messages.length > 0;
+		this.messages = [];
 	}
 
 	duplicateMessages(): void {
-		this.packets.push(...this.packets);
+		this.messages.push(...this.messages);
 	}
 
-	/** A daemon dies: its runs break, the others notice. */
-	kill(at: number): void {
-		const node = this.nodes[at % this.nodes.length];
-		if (!node || this.nodes.filter((other) => other.alive).length < 2) {
+	/** Kills a daemon: its runs end, and the other daemons remove it from the membership. */
+	kill(nodeIndex: number): void {
+		const node = this.nodes[nodeIndex % this.nodes.length];
+		if (!node || this.nodes.filter((other) => other.isAlive).length < 2) {
 			return;
 		}
 		this.hasHadFaults = true;
-		node.alive = false;
-		for (const breakConnection of node.connections) {
+		node.isAlive = false;
+		for (const breakConnection of node.connectionClosers) {
 			breakConnection();
 		}
 		for (const run of this.endpoints.activeRuns) {
@@ -220,42 +220,47 @@
 			}
 		}
 		for (const other of this.nodes) {
-			other.desk.removeMember(node.id);
+			other.ledgers.removeMember(node.id);
 		}
 		this.applyMembers();
 	}
 
-	/** A daemon stops for a while; the others give it up. */
-	freeze(at: number): void {
-		const node = this.nodes[at % this.nodes.length];
-		if (node?.alive && !node.frozen && this.nodes.filter((n) => n.alive && !n.frozen).length > 1) {
+	/** Suspends a daemon, and the other daemons remove it from the membership. */
+	freeze(nodeIndex: number): void {
+		const node = this.nodes[nodeIndex % this.nodes.length];
+		if (
+			node?.isAlive &&
+			!node.isFrozen &&
+			this.nodes.filter((n) => n.isAlive && !n.isFrozen).length > 1
+		) {
 			this.hasHadFaults = true;
-			node.frozen = true;
-			this.froze.add(node.id);
+			node.isFrozen = true;
+			this.onceFrozen.add(node.id);
 			for (const other of this.nodes) {
-				other.desk.removeMember(node.id);
+				other.ledgers.removeMember(node.id);
 			}
 			this.applyMembers();
 		}
 	}
 
+	/** Resumes all suspended daemons. */
 	thaw(): void {
 		for (const node of this.nodes) {
-			if (node.frozen) {
-				node.frozen = false;
+			if (node.isFrozen) {
+				node.isFrozen = false;
 				node.granted.dropGrants();
-				node.desk.clear();
+				node.ledgers.clear();
 			}
 		}
 		this.applyMembers();
 	}
 
-	/** Everything is mended; every request must get its final word. */
+	/** Clears all faults and runs the fleet until every request has ended, within a bounded time. */
 	async recover(): Promise<void> {
 		this.kv.isDown = false;
 		this.endpoints.unreachableUrls.clear();
 		this.thaw();
-		for (let round = 0; round < 400 && this.open().length > 0; round++) {
+		for (let round = 0; round < 400 && this.listOpenRequests().length > 0; round++) {
 			await this.advanceTime(100);
 			for (const run of this.endpoints.activeRuns) {
 				this.endpoints.advance(run);
@@ -264,37 +269,44 @@
 		await this.settle();
 	}
 
-	/** The promises, checked after each step. */
+	/** Asserts what must hold after every command. */
 	checkInvariants(): void {
 		for (const { req, caller } of this.submissions) {
 			const reached = this.endpoints.runCounts.get(req.id) ?? 0;
 			assert.ok(
 				req.repeatable || reached <= 1,
-				`${req.id} must not repeat and ran ${reached} times`,
+				`${req.id} is not repeatable but ran ${reached} times`,
 			);
 			assert.ok(
 				caller.outcome !== 'not-run' || reached === 0,
-				`${req.id} "not run" ran ${reached}`,
+				`${req.id} was reported as not run but ran ${reached} times`,
 			);
 			const expected = caller.tokens.map((_token, index) => `t${index}`);
-			assert.deepEqual(caller.tokens, expected, `${req.id} got wrong tokens`);
-			const whole = caller.tokens.length === answerTokens;
-			assert.ok(caller.outcome !== 'complete' || whole, `${req.id} is "complete" and is not`);
+			assert.deepEqual(caller.tokens, expected, `${req.id} received wrong tokens`);
+			const isWhole = caller.tokens.length === answerTokens;
+			assert.ok(
+				caller.outcome !== 'complete' || isWhole,
+				`${req.id} was reported as complete with tokens missing`,
+			);
 		}
-		this.checkKeys();
+		this.checkIdempotencyKeys();
 		if (!this.hasHadFaults) {
-			this.checkLimits();
+			this.checkSlotLimits();
 		}
 	}
 
-	/** Checked at the end. */
+	/** Asserts what must hold once the fleet has recovered. */
 	checkFinalState(): void {
 		this.checkInvariants();
-		assert.deepEqual(this.open(), [], 'requests without a final word');
-		assert.equal(this.countPriorityInversions(), 0, 'work was shed for lower work');
+		assert.deepEqual(this.listOpenRequests(), [], 'requests without an outcome');
+		assert.equal(
+			this.countPriorityInversions(),
+			0,
+			'requests were shed while lower-tier requests ran',
+		);
 	}
 
-	/** Events by kind, to show what a fuzz run has covered. */
+	/** Adds the recorded events to the counts by kind and outcome. */
 	countEvents(counts: Map<string, number>): void {
 		for (const node of this.nodes) {
 			for (const event of node.timeline.getEventsSince(0)) {
@@ -304,26 +316,26 @@
 		}
 	}
 
-	/** Findings of the oracle that reads the time line. */
+	/** Number of requests that were shed while requests of lower tiers started. */
 	countPriorityInversions(): number {
 		const merged = mergeTimelines(this.nodes.map((node) => node.timeline.getEventsSince(0)));
-		// A frozen daemon cannot ask for slots: what it gives up later is not held against others.
+		// A frozen daemon can't request slots, so requests that it sheds later don't count.
 		const events = merged.filter(
-			(event) => event.kind !== 'request.shed' || !this.froze.has(event.vm),
+			(event) => event.kind !== 'request.shed' || !this.onceFrozen.has(event.vm),
 		);
 		const deadlines = new Map(modelConfiguration.classes.map((cls) => [cls.name, cls.deadline_ms]));
 		const findings = checkTimeline(events, deadlines, new Set(endpointNames));
 		return findings.shedForLower;
 	}
 
-	private open(): string[] {
+	private listOpenRequests(): string[] {
 		return this.submissions
-			.filter(({ node, caller }) => node.alive && caller.outcome === undefined)
+			.filter(({ node, caller }) => node.isAlive && caller.outcome === undefined)
 			.map(({ req }) => req.id);
 	}
 
-	/** Of the requests with one key, at most one reached an endpoint. */
-	private checkKeys(): void {
+	/** Asserts that at most one non-repeatable request per idempotency key reached an endpoint. */
+	private checkIdempotencyKeys(): void {
 		const reached = new Map<string, number>();
 		for (const { req } of this.submissions) {
 			if (req.idempotencyKey !== undefined && !req.repeatable) {
@@ -332,44 +344,47 @@
 			}
 		}
 		for (const [key, count] of reached) {
-			assert.ok(count <= 1, `key ${key} ran ${count} times`);
+			assert.ok(count <= 1, `requests with key ${key} ran ${count} times`);
 		}
 	}
 
-	private checkLimits(): void {
+	private checkSlotLimits(): void {
 		const floors = modelConfiguration.classes.length;
 		for (const endpoint of modelConfiguration.endpoints) {
 			const running = this.endpoints.activeRuns.filter(
 				(run) => run.call.url === endpoint.url,
 			).length;
-			assert.ok(running <= slots + floors, `${endpoint.name} runs ${running}`);
+			assert.ok(
+				running <= slotsPerEndpoint + floors,
+				`${endpoint.name} runs ${running} requests, above its limit`,
+			);
 		}
 	}
 
-	private work(node: Node): void {
-		const due = node.due;
-		node.due = [];
-		for (const callback of due) {
+	private runDeferred(node: DaemonNode): void {
+		const callbacks = node.deferred;
+		node.deferred = [];
+		for (const callback of callbacks) {
 			callback();
 		}
-		node.desk.allocateSlots(this.clock.now);
+		node.ledgers.allocateSlots(this.clock.now);
 		const state = node.router.state();
 		if (state && this.policy === 'granted') {
 			node.granted.sendDueReports(state);
 		}
 	}
 
-	private deliver(): void {
-		const packets = this.packets;
-		this.packets = [];
-		for (const { from, to, report, reply } of packets) {
+	private deliverMessages(): void {
+		const messages = this.messages;
+		this.messages = [];
+		for (const { from, to, report, reply } of messages) {
 			const node = this.nodes[to];
 			const sender = this.nodes[from];
-			if (!node?.alive || node.frozen || !sender) {
+			if (!node?.isAlive || node.isFrozen || !sender) {
 				continue;
 			}
 			if (report) {
-				node.desk.applyReport(sender.id, report, this.clock.now);
+				node.ledgers.applyReport(sender.id, report, this.clock.now);
 			}
 			if (reply) {
 				node.granted.applyReply(sender.id, reply, this.clock.now);
@@ -377,36 +392,40 @@
 		}
 	}
 
-	private attachElsewhere(holder: ClaimRecord): Promise<StoredAnswer | undefined> {
+	private fetchPeerAnswer(holder: ClaimRecord): Promise<StoredAnswer | undefined> {
 		const node = this.nodes.find((other) => other.id === holder.vm);
-		if (!node?.alive || node.frozen) {
+		if (!node?.isAlive || node.isFrozen) {
 			return Promise.resolve(undefined);
 		}
-		const broken = new Promise<undefined>((done) => node.connections.push(() => done(undefined)));
+		const broken = new Promise<undefined>((done) =>
+			node.connectionClosers.push(() => done(undefined)),
+		);
 		return Promise.race([node.router.answers.wait(holder.attempt), broken]);
 	}
 
 	private applyMembers(): void {
-		const seen = this.nodes.filter((node) => node.alive && !node.frozen).map((node) => node.id);
+		const members = this.nodes
+			.filter((node) => node.isAlive && !node.isFrozen)
+			.map((node) => node.id);
 		for (const node of this.nodes) {
-			if (!node.frozen) {
-				node.desk.setMembers(seen, 1, this.clock.now);
+			if (!node.isFrozen) {
+				node.ledgers.setMembers(members, 1, this.clock.now);
 				node.granted.refreshOwners();
 			}
 		}
 	}
 
-	private makeNode(index: number): Node {
+	private makeNode(index: number): DaemonNode {
 		const id = `d${index}`;
 		const timeline = new Timeline({ vm: id, clock: new HybridClock(this.clock) });
 		const node = {
 			id,
 			timeline,
-			alive: true,
-			frozen: false,
-			due: [] as (() => void)[],
-			connections: [] as (() => void)[],
-		} as Node;
+			isAlive: true,
+			isFrozen: false,
+			deferred: [] as (() => void)[],
+			connectionClosers: [] as (() => void)[],
+		} as DaemonNode;
 		node.router = new Router({
 			vm: id,
 			clock: this.clock,
@@ -416,14 +435,14 @@
 			timeline,
 			limits: { requests: 100, bytes: 100_000 },
 			stallMs: 1000,
-			fetchPeerAnswer: (holder) => this.attachElsewhere(holder),
-			defer: (callback) => void node.due.push(callback),
+			fetchPeerAnswer: (holder) => this.fetchPeerAnswer(holder),
+			defer: (callback) => void node.deferred.push(callback),
 		});
 		const indexOf = (name: string) => this.nodes.findIndex((other) => other.id === name);
-		node.desk = new OwnedLedgers({
+		node.ledgers = new OwnedLedgers({
 			self: id,
 			sendReply: (to, reply) =>
-				this.packets.push({ from: index, to: indexOf(to), reply: structuredClone(reply) }),
+				this.messages.push({ from: index, to: indexOf(to), reply: structuredClone(reply) }),
 			newEpoch: () => this.clock.now,
 			recordEvent: () => {},
 		});
@@ -431,8 +450,8 @@
 			self: id,
 			fleetSize: () => this.nodes.length,
 			sendReport: (to, report) =>
-				this.packets.push({ from: index, to: indexOf(to), report: structuredClone(report) }),
-			ownerOf: (endpoint) => node.desk.ownerOf(endpoint),
+				this.messages.push({ from: index, to: indexOf(to), report: structuredClone(report) }),
+			ownerOf: (endpoint) => node.ledgers.ownerOf(endpoint),
 			preempt: (ticket) => node.router.preempt(ticket),
 			isPreemptable: (ticket) => node.router.isPreemptable(ticket),
 			wake: () => node.router.scheduleDispatch(),
--- a/test/run-tests.ts
+++ b/test/run-tests.ts
@@ -1,6 +1,6 @@
 /**
- * Runs every feature with cucumber and closes with `N passed, N failed`. Scenarios named in
- * KNOWN-RED.txt run too, are printed, and do not decide the verdict.
+ * Runs features with cucumber and prints `N passed, N failed` at the end. Scenarios listed in
+ * KNOWN-RED.txt run and are printed, but their failures don't affect the exit code.
  * @module
  */
 import * as fs from 'node:fs/promises';
@@ -11,14 +11,14 @@
 
 interface Scenario {
 	name: string;
-	/** Steps that failed, were undefined, or the like. */
+	/** Statuses of the steps that did not pass. */
 	failures: string[];
 }
 
 const knownRed = await readKnownRed();
-const pickles = new Map<string, string>();
-const cases = new Map<string, string>();
-const attempts = new Map<string, Scenario>();
+const scenarioNameByPickle = new Map<string, string>();
+const scenarioNameByTestCase = new Map<string, string>();
+const attemptsById = new Map<string, Scenario>();
 const finished: Scenario[] = [];
 
 const { runConfiguration } = await cucumber.loadConfiguration({
@@ -31,19 +31,22 @@
 });
 const { success } = await cucumber.runCucumber(runConfiguration, {}, (envelope) => {
 	if (envelope.pickle) {
-		pickles.set(envelope.pickle.id, envelope.pickle.name);
+		scenarioNameByPickle.set(envelope.pickle.id, envelope.pickle.name);
 	} else if (envelope.testCase) {
-		cases.set(envelope.testCase.id, pickles.get(envelope.testCase.pickleId) ?? '');
+		scenarioNameByTestCase.set(
+			envelope.testCase.id,
+			scenarioNameByPickle.get(envelope.testCase.pickleId) ?? '',
+		);
 	} else if (envelope.testCaseStarted) {
-		const name = cases.get(envelope.testCaseStarted.testCaseId) ?? '';
-		attempts.set(envelope.testCaseStarted.id, { name, failures: [] });
+		const name = scenarioNameByTestCase.get(envelope.testCaseStarted.testCaseId) ?? '';
+		attemptsById.set(envelope.testCaseStarted.id, { name, failures: [] });
 	} else if (envelope.testStepFinished) {
 		const { status } = envelope.testStepFinished.testStepResult;
 		if (status !== 'PASSED') {
-			attempts.get(envelope.testStepFinished.testCaseStartedId)?.failures.push(status);
+			attemptsById.get(envelope.testStepFinished.testCaseStartedId)?.failures.push(status);
 		}
 	} else if (envelope.testCaseFinished) {
-		const scenario = attempts.get(envelope.testCaseFinished.testCaseStartedId);
+		const scenario = attemptsById.get(envelope.testCaseFinished.testCaseStartedId);
 		if (scenario) {
 			finished.push(scenario);
 		}
@@ -53,15 +56,17 @@
 const failed = finished.filter((scenario) => scenario.failures.length > 0);
 const unexpected = failed.filter((scenario) => !knownRed.has(scenario.name));
 for (const scenario of failed) {
-	const mark = knownRed.has(scenario.name) ? 'known red' : 'failed';
-	process.stdout.write(`${mark}: ${scenario.name} (${scenario.failures.join(', ')})\n`);
+	const label = knownRed.has(scenario.name) ? 'known red' : 'failed';
+	process.stdout.write(`${label}: ${scenario.name} (${scenario.failures.join(', ')})\n`);
 }
-const brokeOutside = !success && failed.length === 0;
+const hasFailedOutsideScenarios = !success && failed.length === 0;
 const passed = finished.length - failed.length;
-process.stdout.write(`${passed} passed, ${unexpected.length + (brokeOutside ? 1 : 0)} failed\n`);
-process.exit(unexpected.length > 0 || brokeOutside || finished.length === 0 ? 1 : 0);
+process.stdout.write(
+	`${passed} passed, ${unexpected.length + (hasFailedOutsideScenarios ? 1 : 0)} failed\n`,
+);
+process.exit(unexpected.length > 0 || hasFailedOutsideScenarios || finished.length === 0 ? 1 : 0);
 
-/** Names of scenarios: the part of each line before the first semicolon. */
+/** Reads the scenario names: the part of each line before the first semicolon. */
 async function readKnownRed(): Promise<Set<string>> {
 	try {
 		const text = await fs.readFile(knownRedFile, 'utf8');
--- a/test/stand-ins/batch-engine.ts
+++ b/test/stand-ins/batch-engine.ts
@@ -1,43 +1,45 @@
 /**
- * A model engine in simulated time that is honest about cost: it works in steps, each makes a token for every
- * stream, and reads a chunk of the prompts that wait, in the order of their arrival.
+ * Simulates an engine with continuous batching and chunked prefill. Each step generates one token
+ * per stream and prefills a chunk of the admitted prompts, first come, first served.
  * @module
  */
 
 export interface BatchEngineOptions {
-	/** Prompt tokens read in a millisecond. */
+	/** Prompt tokens prefilled per millisecond. */
 	prefillTokensPerMs: number;
-	/** One step with nothing to read, and what each stream adds to it, in milliseconds. */
+	/** Duration of an empty step. */
 	stepMs: number;
+	/** Duration that each stream adds to a step. */
 	stepMsPerStream: number;
-	/** Tokens of an answer in one event. */
+	/** Answer tokens per event. */
 	tokensPerEvent: number;
-	/** Prompt tokens that one step reads at the most. */
+	/** Maximum number of prompt tokens prefilled in one step. */
 	prefillChunkTokens: number;
+	/** Maximum number of requests in the batch. */
 	slots: number;
-	/** Time on the way there and back, in milliseconds. */
+	/** One-way network delay, applied to requests and events. */
 	networkDelayMs: number;
-	/** How many times as long all work takes at a time, in milliseconds. @default always 1 */
-	slowdownAt?: (at: number) => number;
+	/** Factor on the duration of a step that starts at a time in milliseconds. @default always 1 */
+	slowdownAt?: (startMs: number) => number;
 }
 
-/** One request at the engine. */
 export interface BatchRequest {
-	/** Milliseconds. */
+	/** Simulated time in milliseconds. */
 	sentAt: number;
 	promptTokens: number;
-	/** Tokens to read when it is let in, if the engine keeps parts of prompts. @default promptTokens */
+	/** Called on admission: prompt tokens outside the prefix cache. @default promptTokens */
 	countUncachedTokens?: () => number;
 	answerTokens: number;
-	/** Called for each event with the time at which it arrives. */
+	/** Called for each event with its simulated arrival time in milliseconds. */
 	onEvent: (at: number) => void;
 	onEnd: () => void;
 }
 
 interface Run {
 	req: BatchRequest;
-	unread: number;
-	made: number;
+	/** Prompt tokens that are not prefilled yet. */
+	pendingPromptTokens: number;
+	generatedTokens: number;
 }
 
 export class BatchEngine {
@@ -47,63 +49,64 @@
 
 	constructor(private readonly opts: BatchEngineOptions) {}
 
-	/** Requests come in the order of their sending. */
+	/** Queues a request; calls must be in the order of `sentAt`. */
 	send(req: BatchRequest): void {
-		this.waiting.push({ req, unread: req.promptTokens, made: 0 });
+		this.waiting.push({ req, pendingPromptTokens: req.promptTokens, generatedTokens: 0 });
 	}
 
-	/** Works until this time, in milliseconds. */
-	runUntil(end: number): void {
-		while (this.now < end) {
+	/** Runs steps until the simulated time in milliseconds. */
+	runUntil(endMs: number): void {
+		while (this.now < endMs) {
 			this.step();
 		}
 	}
 
 	private step(): void {
 		this.admit();
-		const readTokens = this.readChunk();
-		const streams = this.running.filter((run) => run.unread === 0);
+		const prefilledTokens = this.prefillChunk();
+		const streams = this.running.filter((run) => run.pendingPromptTokens === 0);
 		const {
 			stepMs,
 			stepMsPerStream,
-			prefillTokensPerMs: readPerMs,
-			networkDelayMs: wayMs,
-			slowdownAt: slower = () => 1,
+			prefillTokensPerMs,
+			networkDelayMs,
+			slowdownAt = () => 1,
 		} = this.opts;
-		const usualMs = stepMs + stepMsPerStream * streams.length + readTokens / readPerMs;
-		this.now += usualMs * slower(this.now);
+		const normalStepMs =
+			stepMs + stepMsPerStream * streams.length + prefilledTokens / prefillTokensPerMs;
+		this.now += normalStepMs * slowdownAt(this.now);
 		for (const run of streams) {
-			this.makeToken(run, this.now + wayMs);
+			this.generateToken(run, this.now + networkDelayMs);
 		}
 	}
 
 	private admit(): void {
-		const { slots, networkDelayMs: wayMs } = this.opts;
+		const { slots, networkDelayMs } = this.opts;
 		while (this.running.length < slots) {
 			const next = this.waiting[0];
-			if (!next || next.req.sentAt + wayMs > this.now) {
+			if (!next || next.req.sentAt + networkDelayMs > this.now) {
 				return;
 			}
-			next.unread = next.req.countUncachedTokens?.() ?? next.unread;
+			next.pendingPromptTokens = next.req.countUncachedTokens?.() ?? next.pendingPromptTokens;
 			this.running.push(next);
 			this.waiting.shift();
 		}
 	}
 
-	private readChunk(): number {
-		let left = this.opts.prefillChunkTokens;
+	private prefillChunk(): number {
+		let remainingTokens = this.opts.prefillChunkTokens;
 		for (const run of this.running) {
-			const tokens = Math.min(run.unread, left);
-			run.unread -= tokens;
-			left -= tokens;
+			const tokens = Math.min(run.pendingPromptTokens, remainingTokens);
+			run.pendingPromptTokens -= tokens;
+			remainingTokens -= tokens;
 		}
-		return this.opts.prefillChunkTokens - left;
+		return this.opts.prefillChunkTokens - remainingTokens;
 	}
 
-	private makeToken(run: Run, at: number): void {
-		run.made++;
-		const isLast = run.made >= run.req.answerTokens;
-		if (isLast || run.made % this.opts.tokensPerEvent === 1) {
+	private generateToken(run: Run, at: number): void {
+		run.generatedTokens++;
+		const isLast = run.generatedTokens >= run.req.answerTokens;
+		if (isLast || run.generatedTokens % this.opts.tokensPerEvent === 1) {
 			run.req.onEvent(at);
 		}
 		if (isLast) {
--- a/test/stand-ins/engine.ts
+++ b/test/stand-ins/engine.ts
@@ -1,27 +1,27 @@
 /**
- * Stand-in of a model engine: a continuous batch whose rate falls as it grows, a prefix cache of
- * limited size, priorities, a lagging load report, resume, fenced orders and faults on command.
+ * Stand-in for a model engine over HTTP, with continuous batching, a bounded prefix cache,
+ * priorities, delayed load reports, stream resumption, fenced orders and injectable faults.
  * @module
  */
 import * as http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { answerTokenCount, textSeed, tokenText } from './engine-text.js';
 
-/** How one engine behaves. Milliseconds. */
 export interface EngineOptions {
 	models: string[];
-	/** Time of a step with an empty batch. */
+	/** Duration of a step with an empty batch. */
 	stepBaseMs: number;
-	/** Time each running request adds to a step. */
+	/** Duration that each running request adds to a step. */
 	stepMsPerRequest: number;
-	/** Largest batch; more requests wait, best priority first. */
+	/** Maximum batch size; further requests wait, lowest priority value first. */
 	maxBatch: number;
-	/** Prompt characters taken in a millisecond. */
+	/** Prompt characters prefilled per millisecond. */
 	prefillCharsPerMs: number;
-	/** The load report is this old. */
+	/** Age of the load that the engine reports. */
 	reportLagMs: number;
-	/** Prefixes kept. */
+	/** Maximum number of prefixes in the cache; the least recently used one is evicted. */
 	maxCachedPrefixes: number;
+	/** Whether orders with an outdated fencing token are refused. */
 	checksFencing: boolean;
 }
 
@@ -36,16 +36,17 @@
 	checksFencing: true,
 };
 
-/** What the engine counts; read at GET /stats. */
+/** Counters of the engine, served at GET /stats. */
 export interface EngineStats {
+	/** Tokens generated. */
 	generated: number;
-	/** Runs by request id. */
+	/** Number of runs by request id. */
 	runs: Record<string, number>;
-	/** Requests refused while it was leaving or told to refuse. */
+	/** Requests refused because of the faults `leaving` and `refusing`. */
 	refused: number;
 	cacheHits: number;
 	cacheMisses: number;
-	/** Most requests that ran at once. */
+	/** Maximum batch size reached. */
 	peakBatch: number;
 }
 
@@ -53,32 +54,34 @@
 	id: string;
 	priority: number;
 	seed: number;
-	index: number;
-	length: number;
+	nextTokenIndex: number;
+	answerTokens: number;
 	model: string;
-	chat: boolean;
-	usage: boolean;
-	promptChars: number;
-	/** Time at which the prompt is taken in. */
-	readyAt: number;
+	isChat: boolean;
+	includesUsage: boolean;
+	uncachedPromptChars: number;
+	/** Time at which the prompt is prefilled. */
+	prefillDoneAt: number;
 	res: http.ServerResponse;
 }
 
-/** Faults, set by POST /control. */
+/** Injected faults, set by POST /control. */
 interface Faults {
-	/** Steps take this many times longer. */
+	/** Factor on the duration of steps and prefill. */
 	slowFactor: number;
-	/** Nothing is generated, connections stay open. */
+	/** Generates nothing while connections stay open. */
 	stalled: boolean;
-	/** Streams are cut after this many more tokens in all; 0 for never. */
+	/** Cuts all streams after this many more tokens in total; 0 disables. */
 	cutAfterTokens: number;
-	/** They end cleanly, though early, in place of being cut. */
+	/** Ends the streams normally, though incomplete, instead of resetting them. */
 	endsCleanly: boolean;
+	/** Refuses new requests and reports that the engine drains. */
 	leaving: boolean;
-	/** New requests are refused with 503. */
+	/** Refuses new requests with 503. */
 	refusing: boolean;
 }
 
+/** Length of the prompt prefix that is cached. */
 const prefixChars = 256;
 
 export class Engine {
@@ -101,10 +104,10 @@
 	};
 	private batch: Sequence[] = [];
 	private waiting: Sequence[] = [];
-	private readonly prefixes = new Map<string, true>();
-	private reports: { at: number; running: number; waiting: number }[] = [];
+	private readonly cachedPrefixes = new Map<string, true>();
+	private loadHistory: { at: number; running: number; waiting: number }[] = [];
 	private fencingToken = 0;
-	private stepping = false;
+	private isStepScheduled = false;
 
 	constructor(private readonly opts: EngineOptions) {
 		this.server = http.createServer((req, res) => void this.handle(req, res));
@@ -112,7 +115,7 @@
 
 	async listen(port = 0): Promise<number> {
 		await new Promise<void>((done) => this.server.listen(port, '127.0.0.1', done));
-		const timer = setInterval(() => this.recordReport(), 100);
+		const timer = setInterval(() => this.recordLoad(), 100);
 		timer.unref();
 		return (this.server.address() as AddressInfo).port;
 	}
@@ -124,15 +127,15 @@
 		}
 		const text = Buffer.concat(chunks).toString('utf8');
 		if (req.url === '/load') {
-			sendJson(res, 200, this.report());
+			sendJson(res, 200, this.delayedLoadReport());
 		} else if (req.url === '/stats') {
 			sendJson(res, 200, this.stats);
 		} else if (req.url === '/control') {
 			Object.assign(this.faults, JSON.parse(text));
-			this.step();
+			this.scheduleStep();
 			sendJson(res, 200, this.faults);
 		} else if (req.url === '/orders') {
-			this.order(JSON.parse(text), res);
+			this.applyOrder(JSON.parse(text), res);
 		} else if (req.url?.startsWith('/v1/')) {
 			this.generate(req, res, JSON.parse(text));
 		} else {
@@ -140,7 +143,10 @@
 		}
 	}
 
-	private order(order: { kind: string; fencingToken: number }, res: http.ServerResponse): void {
+	private applyOrder(
+		order: { kind: string; fencingToken: number },
+		res: http.ServerResponse,
+	): void {
 		if (this.opts.checksFencing && order.fencingToken < this.fencingToken) {
 			sendJson(res, 409, { newest: this.fencingToken });
 			return;
@@ -169,88 +175,92 @@
 		}
 		const id = String(req.headers['x-request-id'] ?? 'none');
 		this.stats.runs[id] = (this.stats.runs[id] ?? 0) + 1;
-		const sequence = this.sequenceOf(id, req, res, body);
+		const sequence = this.createSequence(id, req, res, body);
 		res.writeHead(200, { 'content-type': 'text/event-stream' });
 		res.flushHeaders();
-		res.on('close', () => this.drop(sequence));
+		res.on('close', () => this.removeSequence(sequence));
 		this.waiting.push(sequence);
 		this.waiting.sort((a, b) => a.priority - b.priority);
-		this.step();
+		this.scheduleStep();
 	}
 
-	private sequenceOf(
+	private createSequence(
 		id: string,
 		req: http.IncomingMessage,
 		res: http.ServerResponse,
 		body: Record<string, unknown>,
 	): Sequence {
-		const chat = req.url === '/v1/chat/completions';
+		const isChat = req.url === '/v1/chat/completions';
 		const messages = (body.messages ?? []) as { content: string }[];
-		const parts = chat ? messages.map((message) => message.content) : [String(body.prompt)];
+		const parts = isChat ? messages.map((message) => message.content) : [String(body.prompt)];
 		const prompt = parts.join('\n');
 		const options = (body.stream_options ?? {}) as { include_usage?: boolean };
 		return {
 			id,
 			priority: Number(req.headers['x-priority'] ?? 0),
 			seed: textSeed(parts.at(-1) ?? ''),
-			index: Number(req.headers['last-event-id'] ?? 0),
-			length: answerTokenCount(parts.at(-1) ?? ''),
+			nextTokenIndex: Number(req.headers['last-event-id'] ?? 0),
+			answerTokens: answerTokenCount(parts.at(-1) ?? ''),
 			model: String(body.model),
-			chat,
-			usage: options.include_usage === true,
-			promptChars: prompt.length - this.cachedChars(prompt),
-			readyAt: 0,
+			isChat,
+			includesUsage: options.include_usage === true,
+			uncachedPromptChars: prompt.length - this.lookUpPrefix(prompt),
+			prefillDoneAt: 0,
 			res,
 		};
 	}
 
-	/** Characters of the prompt that the prefix cache already holds. */
-	private cachedChars(prompt: string): number {
+	/**
+	 * Looks up the prompt's prefix in the cache and adds it.
+	 * @returns Number of cached characters
+	 */
+	private lookUpPrefix(prompt: string): number {
 		const prefix = prompt.slice(0, prefixChars);
-		const hit = this.prefixes.delete(prefix);
-		this.prefixes.set(prefix, true);
-		if (this.prefixes.size > this.opts.maxCachedPrefixes) {
-			const oldest = this.prefixes.keys().next().value;
-			this.prefixes.delete(oldest ?? '');
+		const isHit = this.cachedPrefixes.delete(prefix);
+		this.cachedPrefixes.set(prefix, true);
+		if (this.cachedPrefixes.size > this.opts.maxCachedPrefixes) {
+			const oldest = this.cachedPrefixes.keys().next().value;
+			this.cachedPrefixes.delete(oldest ?? '');
 		}
-		this.stats.cacheHits += hit ? 1 : 0;
-		this.stats.cacheMisses += hit ? 0 : 1;
-		return hit ? Math.min(prefixChars, prompt.length) : 0;
+		this.stats.cacheHits += isHit ? 1 : 0;
+		this.stats.cacheMisses += isHit ? 0 : 1;
+		return isHit ? Math.min(prefixChars, prompt.length) : 0;
 	}
 
-	private step(): void {
-		if (this.stepping || this.faults.stalled) {
+	private scheduleStep(): void {
+		if (this.isStepScheduled || this.faults.stalled) {
 			return;
 		}
 		this.fillBatch();
 		if (this.batch.length === 0) {
 			return;
 		}
-		this.stepping = true;
-		const each = this.opts.stepMsPerRequest * this.batch.length;
-		const stepMs = (this.opts.stepBaseMs + each) * this.faults.slowFactor;
+		this.isStepScheduled = true;
+		const batchMs = this.opts.stepMsPerRequest * this.batch.length;
+		const stepMs = (this.opts.stepBaseMs + batchMs) * this.faults.slowFactor;
 		setTimeout(() => {
-			this.stepping = false;
-			this.emit();
-			this.step();
+			this.isStepScheduled = false;
+			this.emitTokens();
+			this.scheduleStep();
 		}, stepMs);
 	}
 
 	private fillBatch(): void {
 		while (this.batch.length < this.opts.maxBatch && this.waiting.length > 0) {
 			const next = this.waiting.shift() as Sequence;
-			const prefillMs = (next.promptChars / this.opts.prefillCharsPerMs) * this.faults.slowFactor;
-			next.readyAt = performance.now() + prefillMs;
+			const prefillMs =
+				(next.uncachedPromptChars / this.opts.prefillCharsPerMs) * this.faults.slowFactor;
+			next.prefillDoneAt = performance.now() + prefillMs;
 			this.batch.push(next);
 		}
 		this.stats.peakBatch = Math.max(this.stats.peakBatch, this.batch.length);
 	}
 
-	private emit(): void {
+	private emitTokens(): void {
 		const now = performance.now();
 		for (const sequence of [...this.batch]) {
 			if (
-				sequence.readyAt <= now &&
+				sequence.prefillDoneAt <= now &&
 				!sequence.res.writableEnded &&
 				!sequence.res.writableNeedDrain
 			) {
@@ -260,28 +270,30 @@
 	}
 
 	private emitToken(sequence: Sequence): void {
-		if (sequence.index < sequence.length) {
-			const token = tokenText(sequence.seed, sequence.index);
-			sequence.index++;
+		if (sequence.nextTokenIndex < sequence.answerTokens) {
+			const token = tokenText(sequence.seed, sequence.nextTokenIndex);
+			sequence.nextTokenIndex++;
 			this.stats.generated++;
-			sequence.res.write(`id: ${sequence.index}\ndata: ${chunkOf(sequence, token, null)}\n\n`);
-			this.maybeCut();
+			sequence.res.write(
+				`id: ${sequence.nextTokenIndex}\ndata: ${formatChunk(sequence, token, null)}\n\n`,
+			);
+			this.cutIfDue();
 		}
-		if (sequence.index >= sequence.length) {
+		if (sequence.nextTokenIndex >= sequence.answerTokens) {
 			this.finish(sequence);
 		}
 	}
 
 	private finish(sequence: Sequence): void {
-		let tail = `data: ${chunkOf(sequence, '', 'stop')}\n\n`;
-		if (sequence.usage) {
-			tail += `data: ${usageOf(sequence)}\n\n`;
+		let tail = `data: ${formatChunk(sequence, '', 'stop')}\n\n`;
+		if (sequence.includesUsage) {
+			tail += `data: ${formatUsage(sequence)}\n\n`;
 		}
 		sequence.res.end(`${tail}data: [DONE]\n\n`);
-		this.drop(sequence);
+		this.removeSequence(sequence);
 	}
 
-	private maybeCut(): void {
+	private cutIfDue(): void {
 		if (this.faults.cutAfterTokens === 0) {
 			return;
 		}
@@ -297,47 +309,52 @@
 		}
 	}
 
-	private drop(sequence: Sequence): void {
-		this.batch = this.batch.filter((known) => known !== sequence);
-		this.waiting = this.waiting.filter((known) => known !== sequence);
+	private removeSequence(sequence: Sequence): void {
+		this.batch = this.batch.filter((other) => other !== sequence);
+		this.waiting = this.waiting.filter((other) => other !== sequence);
 	}
 
-	private recordReport(): void {
+	private recordLoad(): void {
 		const now = performance.now();
-		this.reports.push({ at: now, running: this.batch.length, waiting: this.waiting.length });
-		this.reports = this.reports.filter((report) => report.at > now - this.opts.reportLagMs - 200);
+		this.loadHistory.push({ at: now, running: this.batch.length, waiting: this.waiting.length });
+		this.loadHistory = this.loadHistory.filter(
+			(report) => report.at > now - this.opts.reportLagMs - 200,
+		);
 	}
 
-	private report(): object {
-		const { running, waiting } = this.reports[0] ?? { running: 0, waiting: 0 };
+	private delayedLoadReport(): object {
+		const { running, waiting } = this.loadHistory[0] ?? { running: 0, waiting: 0 };
 		return { running, waiting, leaving: this.faults.leaving };
 	}
 }
 
-function chunkOf(sequence: Sequence, token: string, finish: string | null): string {
-	const part = sequence.chat
-		? { delta: sequence.index <= 1 ? { role: 'assistant', content: token } : { content: token } }
+function formatChunk(sequence: Sequence, token: string, finish: string | null): string {
+	const part = sequence.isChat
+		? {
+				delta:
+					sequence.nextTokenIndex <= 1 ? { role: 'assistant', content: token } : { content: token },
+			}
 		: { text: token };
 	return JSON.stringify({
 		id: `cmpl-${sequence.id}`,
-		object: sequence.chat ? 'chat.completion.chunk' : 'text_completion',
+		object: sequence.isChat ? 'chat.completion.chunk' : 'text_completion',
 		created: 1,
 		model: sequence.model,
 		choices: [{ index: 0, ...part, finish_reason: finish }],
 	});
 }
 
-function usageOf(sequence: Sequence): string {
+function formatUsage(sequence: Sequence): string {
 	return JSON.stringify({
 		id: `cmpl-${sequence.id}`,
-		object: sequence.chat ? 'chat.completion.chunk' : 'text_completion',
+		object: sequence.isChat ? 'chat.completion.chunk' : 'text_completion',
 		created: 1,
 		model: sequence.model,
 		choices: [],
 		usage: {
 			prompt_tokens: 1,
-			completion_tokens: sequence.length,
-			total_tokens: sequence.length + 1,
+			completion_tokens: sequence.answerTokens,
+			total_tokens: sequence.answerTokens + 1,
 		},
 	});
 }
--- a/test/stand-ins/loaded-modules.cjs
+++ b/test/stand-ins/loaded-modules.cjs
@@ -1,2 +1,2 @@
-/** Preloaded into the daemon: names at its end what it loaded of Node's own modules. */
+/** Preloaded into the daemon: prints the built-in Node.js modules that it loaded when it exits. */
 process.on('exit', () => process.stderr.write(process.moduleLoadList.join(',')));
--- a/test/stand-ins/main.ts
+++ b/test/stand-ins/main.ts
@@ -1,6 +1,6 @@
 /**
- * Starts one stand-in as a process: `main.js engine|service|platform [JSON options]`. Prints one
- * line with its ports (`count` engines may share one process) and ends with its parent's input.
+ * Runs stand-ins as a process: `main.js engine|service|platform [JSON options] [port]`. Prints
+ * their ports on one line and exits when its standard input closes.
  * @module
  */
 import type { EngineOptions } from './engine.js';
@@ -24,7 +24,7 @@
 	if (kind === 'platform') {
 		return [await new Platform().listen()];
 	}
-	throw new Error(`no stand-in is named ${kind}`);
+	throw new Error(`unknown kind of stand-in: ${kind}; expected engine, service or platform`);
 }
 
 process.stdout.write(`ports=${(await start()).join(',')}\n`);
--- a/test/stand-ins/plain-service.ts
+++ b/test/stand-ins/plain-service.ts
@@ -1,21 +1,21 @@
 /**
- * Stand-in of a plain service: counts every effect by the id in the body.
+ * Stand-in for a service without streaming that counts its side effects by the id in the body.
  * @module
  */
 import * as http from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** Faults, set by POST /control. */
+/** Injected faults, set by POST /control. */
 interface Faults {
-	/** Time until the answer, in milliseconds. */
+	/** Delay of the answer. */
 	delayMs: number;
-	/** The effect happens, then the connection is cut without an answer. */
+	/** Resets the connection after the effect, without an answer. */
 	cutAfterEffect: boolean;
 }
 
 export class PlainService {
 	readonly server: http.Server;
-	/** Effects by id. */
+	/** Number of effects by id. */
 	readonly effects = new Map<string, number>();
 	private readonly faults: Faults = { delayMs: 0, cutAfterEffect: false };
 
@@ -40,11 +40,11 @@
 			Object.assign(this.faults, JSON.parse(text));
 			sendJson(res, this.faults);
 		} else {
-			await this.effect(text, res);
+			await this.applyEffect(text, res);
 		}
 	}
 
-	private async effect(text: string, res: http.ServerResponse): Promise<void> {
+	private async applyEffect(text: string, res: http.ServerResponse): Promise<void> {
 		const id = text === '' ? 'none' : String((JSON.parse(text) as { id?: unknown }).id);
 		const count = (this.effects.get(id) ?? 0) + 1;
 		this.effects.set(id, count);
--- a/test/stand-ins/platform-engine.ts
+++ b/test/stand-ins/platform-engine.ts
@@ -1,36 +1,37 @@
 /**
- * Stand-in of an engine behind the relay: answers by a named behaviour and remembers what ran.
+ * Stand-in for an engine behind the relay that answers by a configurable behaviour and records the
+ * requests it received.
  * @module
  */
 import * as http from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 
-/** What the engine does with requests. */
+/** Ways in which the engine handles requests. */
 export const engineBehaviours = {
 	healthy: 'well',
-	/** 503 with the header that says that it did not run. */
+	/** Answers 503 with the header that says that the request did not run. */
 	rejects: 'rejects',
-	/** 503 without that header. */
+	/** Answers 503 without that header. */
 	unmarked503: 'bare-503',
-	/** Ends the connection before any answer. */
+	/** Resets the connection before any answer. */
 	resets: 'resets',
-	/** Sends three events and half of the fourth, then resets. */
+	/** Sends three events and half of the fourth, then resets the connection. */
 	resetsMidStream: 'breaks-off',
-	/** Answers with the id of another request. */
+	/** Answers with the attempt id of another request. */
 	wrongAttemptId: 'mixes-up',
-	/** A success without its signature. */
+	/** Answers 200 without a signature. */
 	unsigned: 'unsigned',
-	/** An answer without a length that is reset on the way. */
+	/** Sends part of an answer without a content length, then resets the connection after a pause. */
 	unframedReset: 'unframed-reset',
-	/** The same, with the reset right behind the bytes. */
+	/** Sends part of an answer without a content length and resets the connection at once. */
 	unframedImmediateReset: 'unframed-reset-at-once',
-	/** An answer without a length that ends with its connection. */
+	/** Sends an answer without a content length that ends when the connection closes. */
 	unframed: 'unframed',
-	/** Its own failure. */
+	/** Answers 500. */
 	fails: 'fails',
-	/** Sends a second whole answer behind the first. */
+	/** Sends a second, unsolicited answer after the first. */
 	answersTwice: 'answers-twice',
-	/** Answers before it has read the body, keeps the connection and reads on. */
+	/** Answers before it reads the body, then reads it on the same connection. */
 	answersEarly: 'answers-early',
 	/** Never answers. */
 	silent: 'silent',
@@ -42,54 +43,53 @@
 	url: string;
 	headers: http.IncomingHttpHeaders;
 	body: string;
-	/** Monotonic milliseconds at which it began. */
+	/** Monotonic time in milliseconds at which the body was read. */
 	at: number;
-	/** It was refused with the word that it did not run. */
+	/** Whether the engine answered that the request did not run. */
 	wasRejected: boolean;
-	/** The caller's side went away before the answer ended. */
+	/** Whether the connection closed before the answer was complete. */
 	hasCallerLeft: boolean;
-	/** What the head of its answer said of the engine, once that was sent. */
+	/** Notice in the head of the answer, once that was sent. */
 	notice?: EngineNotice;
 }
 
-/** What an engine said of itself in the head of an answer. */
+/** State of an engine that it announces in the head of an answer. */
 export interface EngineNotice {
-	/** Monotonic milliseconds. */
+	/** Monotonic time in milliseconds. */
 	at: number;
 	isDraining: boolean;
-	/** It wants no request for so long, in milliseconds; 0 when it did not say so. */
+	/** Time for which the engine asks for no requests; 0 if it does not ask. */
 	backOffMs: number;
-	/** Requests a second that it takes from all VMs together, if it named that. */
+	/** Limit on requests per second from all VMs together. */
 	limitPerS?: number;
 }
 
-/** From the begin of a request that crashes its engine to the end of the engine, in milliseconds. */
-const crashMs = 30;
+/** Delay between the start of a request that crashes the engine and the crash. */
+const crashDelayMs = 30;
 
-/** Events of every streamed answer. */
+/** Number of events in every streamed answer. */
 export const streamEventCount = 8;
 
 export class PlatformEngineStandIn {
 	readonly receivedRequests: ReceivedRequest[] = [];
 	behaviour: EngineBehaviour = engineBehaviours.healthy;
-	/** Between two events, in milliseconds. */
 	eventIntervalMs = 5;
-	/** Before a whole answer, in milliseconds. */
+	/** Delay of answers that are not streamed. */
 	answerDelayMs = 0;
-	/** A request with this body ends the engine soon after it has begun to run. */
+	/** Body of requests that crash the engine. */
 	crashBody?: string;
-	/** All its answers say that it leaves. */
+	/** Whether all answers announce that the engine drains. */
 	isDraining = false;
-	/** A 503 asks for so many seconds of rest. */
+	/** Back-off requested by answers with status 503. */
 	backOffS?: number;
-	/** All its answers name this limit of requests a second. */
+	/** Limit on requests per second that all answers announce. */
 	limitPerS?: number;
-	/** It forgets connections that were used once: the next request there is reset. */
+	/** Resets connections on their second request. */
 	resetsReusedConnections = false;
-	/** It resets new connections, as an engine that has too many. */
+	/** Resets new connections, as an engine with too many of them does. */
 	resetsNewConnections = false;
-	/** Connections that it has answered on. */
-	private readonly used = new WeakSet<Socket>();
+	/** Sockets that have carried a request. */
+	private readonly usedSockets = new WeakSet<Socket>();
 	onCrash?: () => void;
 	readonly server = http.createServer((req, res) => void this.handle(req, res));
 
@@ -112,11 +112,11 @@
 	}
 
 	private async handle(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-		if (this.resetsReusedConnections && this.used.has(req.socket)) {
+		if (this.resetsReusedConnections && this.usedSockets.has(req.socket)) {
 			req.socket.resetAndDestroy();
 			return;
 		}
-		this.used.add(req.socket);
+		this.usedSockets.add(req.socket);
 		if (this.behaviour === engineBehaviours.answersEarly) {
 			const id = String(req.headers['slategauge-attempt-id']);
 			const signed = {
@@ -131,16 +131,24 @@
 		}
 		const { method = '', url = '', headers } = req;
 		const body = Buffer.concat(chunks).toString();
-		const rejected = this.behaviour === engineBehaviours.rejects;
-		const request = { method, url, headers, body, at: performance.now(), rejected, left: false };
+		const wasRejected = this.behaviour === engineBehaviours.rejects;
+		const request = {
+			method,
+			url,
+			headers,
+			body,
+			at: performance.now(),
+			wasRejected,
+			hasCallerLeft: false,
+		};
 		const expected = headers['slategauge-expect-instance'];
 		if (expected !== undefined && expected !== this.id) {
-			res.writeHead(421, { 'slategauge-instance-id': this.id, ...this.wordsHead }).end();
+			res.writeHead(421, { 'slategauge-instance-id': this.id, ...this.noticeHeaders }).end();
 			return;
 		}
 		this.receivedRequests.push(request);
 		res.on('close', () => {
-			request.left = !res.writableFinished;
+			request.hasCallerLeft = !res.writableFinished;
 		});
 		await this.answer(request, res, req.socket);
 	}
@@ -156,43 +164,43 @@
 			'slategauge-response-signature': `by-${this.id}`,
 		};
 		if (this.crashBody !== undefined && req.body === this.crashBody) {
-			await pause(crashMs);
+			await pause(crashDelayMs);
 			this.stop();
 			this.onCrash?.();
 			return;
 		}
 		switch (this.behaviour) {
 			case engineBehaviours.rejects:
-				this.head(req, res, 503, { 'slategauge-not-executed': '1' }).end();
+				this.writeHead(req, res, 503, { 'slategauge-not-executed': '1' }).end();
 				return;
 			case engineBehaviours.unmarked503:
-				this.head(req, res, 503, signed).end('busy');
+				this.writeHead(req, res, 503, signed).end('busy');
 				return;
 			case engineBehaviours.resets:
 				socket.resetAndDestroy();
 				return;
 			case engineBehaviours.wrongAttemptId:
-				this.head(req, res, 200, { ...signed, 'slategauge-attempt-id': 'another' }).end(
+				this.writeHead(req, res, 200, { ...signed, 'slategauge-attempt-id': 'another' }).end(
 					'not yours',
 				);
 				return;
 			case engineBehaviours.unsigned:
-				this.head(req, res, 200, { 'slategauge-attempt-id': id }).end('whose?');
+				this.writeHead(req, res, 200, { 'slategauge-attempt-id': id }).end('whose?');
 				return;
 			case engineBehaviours.fails:
-				this.head(req, res, 500, signed).end('failed');
+				this.writeHead(req, res, 500, signed).end('failed');
 				return;
 			case engineBehaviours.unframed:
 			case engineBehaviours.unframedReset:
 			case engineBehaviours.unframedImmediateReset:
-				await this.answerUnframed(req, socket);
+				await this.sendUnframedAnswer(req, socket);
 				return;
 			case engineBehaviours.answersTwice:
 				if (req.url.startsWith('/stream')) {
-					await this.serve(req, res, signed, socket);
+					await this.sendAnswer(req, res, signed, socket);
 					return;
 				}
-				this.head(req, res, 200, signed).end(`answer to ${req.body || req.url}`, () => {
+				this.writeHead(req, res, 200, signed).end(`answer to ${req.body || req.url}`, () => {
 					const head = `HTTP/1.1 200 OK\r\nslategauge-attempt-id: ${id}\r\n`;
 					socket.write(
 						`${head}slategauge-response-signature: again\r\ncontent-length: 5\r\n\r\nagain`,
@@ -203,45 +211,45 @@
 			case engineBehaviours.silent:
 				return;
 			default:
-				await this.serve(req, res, signed, socket);
+				await this.sendAnswer(req, res, signed, socket);
 		}
 	}
 
-	/** Begins an answer, with what the engine says of itself. */
-	private head(
+	/** Writes the head of an answer with the engine notice and records the notice. */
+	private writeHead(
 		req: ReceivedRequest,
 		res: http.ServerResponse,
 		status: number,
 		headers: http.OutgoingHttpHeaders,
 	): http.ServerResponse {
-		const restS = status === 503 ? this.backOffS : undefined;
-		const rest = restS === undefined ? {} : { 'retry-after': String(restS) };
+		const backOffS = status === 503 ? this.backOffS : undefined;
+		const retryAfter = backOffS === undefined ? {} : { 'retry-after': String(backOffS) };
 		req.notice = {
 			at: performance.now(),
 			isDraining: this.isDraining,
-			backOffMs: (restS ?? 0) * 1000,
+			backOffMs: (backOffS ?? 0) * 1000,
 			limitPerS: this.limitPerS,
 		};
-		return res.writeHead(status, { ...headers, ...this.wordsHead, ...rest });
+		return res.writeHead(status, { ...headers, ...this.noticeHeaders, ...retryAfter });
 	}
 
-	/** What all its answers say of it. */
-	private get wordsHead(): Record<string, string> {
-		const leaving = this.isDraining ? { 'server-leaving': '1' } : undefined;
+	/** Headers of the engine notice that all answers carry. */
+	private get noticeHeaders(): Record<string, string> {
+		const draining = this.isDraining ? { 'server-leaving': '1' } : undefined;
 		const limit =
 			this.limitPerS === undefined ? undefined : { 'server-limit': String(this.limitPerS) };
-		return { ...leaving, ...limit };
+		return { ...draining, ...limit };
 	}
 
-	private async answerUnframed(req: ReceivedRequest, socket: Socket): Promise<void> {
-		const { behaviour, isDraining: isLeaving, limitPerS, wordsHead } = this;
-		req.notice = { at: performance.now(), isDraining: isLeaving, backOffMs: 0, limitPerS };
+	private async sendUnframedAnswer(req: ReceivedRequest, socket: Socket): Promise<void> {
+		const { behaviour, isDraining, limitPerS, noticeHeaders } = this;
+		req.notice = { at: performance.now(), isDraining, backOffMs: 0, limitPerS };
 		const head = [
 			'HTTP/1.1 200 OK',
 			`slategauge-attempt-id: ${req.headers['slategauge-attempt-id']}`,
 			`slategauge-response-signature: by-${this.id}`,
 			'connection: close',
-			...Object.entries(wordsHead).map((header) => header.join(': ')),
+			...Object.entries(noticeHeaders).map((header) => header.join(': ')),
 		];
 		socket.write(`${head.join('\r\n')}\r\n\r\nhalf`);
 		if (behaviour === engineBehaviours.unframedImmediateReset) {
@@ -256,7 +264,7 @@
 		}
 	}
 
-	private async serve(
+	private async sendAnswer(
 		req: ReceivedRequest,
 		res: http.ServerResponse,
 		signed: Record<string, string>,
@@ -264,10 +272,10 @@
 	): Promise<void> {
 		if (!req.url.startsWith('/stream')) {
 			await pause(this.answerDelayMs);
-			this.head(req, res, 200, signed).end(`answer to ${req.body || req.url}`);
+			this.writeHead(req, res, 200, signed).end(`answer to ${req.body || req.url}`);
 			return;
 		}
-		this.head(req, res, 200, { ...signed, 'content-type': 'text/event-stream' });
+		this.writeHead(req, res, 200, { ...signed, 'content-type': 'text/event-stream' });
 		const first = Number(req.headers['last-event-id'] ?? 0) + 1;
 		for (let event = first; event <= streamEventCount; event++) {
 			if (this.behaviour === engineBehaviours.resetsMidStream && event === 4) {
@@ -283,15 +291,17 @@
 	}
 }
 
-/** An event of a streamed answer; it names the body of its request, if that has one. */
+/** Formats an event of a streamed answer, with the request body if there is one. */
 export function formatEvent(event: number, body = ''): string {
-	const of = body === '' ? '' : ` of ${body}`;
-	return `id: ${event}\ndata: token ${event}${of}\n\n`;
+	const suffix = body === '' ? '' : ` of ${body}`;
+	return `id: ${event}\ndata: token ${event}${suffix}\n\n`;
 }
 
-/** The whole body of a streamed answer. */
+/** Complete body of a streamed answer. */
 export function wholeStream(body = ''): string {
-	const events = Array.from({ length: streamEventCount }, (_, at) => formatEvent(at + 1, body));
+	const events = Array.from({ length: streamEventCount }, (_, index) =>
+		formatEvent(index + 1, body),
+	);
 	return events.join('');
 }
 
--- a/test/stand-ins/platform-store.ts
+++ b/test/stand-ins/platform-store.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of the platform's store: items with revisions, watches, conditional writes and leases over
- * HTTP. Faults are switched on from the test.
+ * Stand-in for the platform's key-value store over HTTP: items with revisions, watches,
+ * conditional writes and leases. Tests inject faults through its members.
  * @module
  */
 import * as http from 'node:http';
@@ -26,12 +26,12 @@
 	timer: NodeJS.Timeout;
 }
 
-type Json = Record<string, unknown>;
+type JsonObject = Record<string, unknown>;
 
-/** What the store held at some moment. */
+/** State of the store at one moment. */
 export interface StoreSnapshot {
 	items: Map<string, Item>;
-	/** Time to live by lease, in milliseconds. */
+	/** Time to live in milliseconds, by lease id. */
 	leases: Map<number, number>;
 	revision: number;
 }
@@ -40,60 +40,61 @@
 	private readonly items = new Map<string, Item>();
 	private readonly leases = new Map<number, Lease>();
 	private history: Change[] = [];
-	private oldest = 0;
+	private compactedRevision = 0;
 	private revision = 1;
-	private nextLease = 1000;
-	/** Rises each time that it comes back from a copy. */
+	private nextLeaseId = 1000;
+	/** Incremented each time that the store is restored from a snapshot. */
 	private era = 1;
-	private readonly waiting = new Set<() => void>();
-	/** Every call is answered with this status. */
+	private readonly watchWakers = new Set<() => void>();
+	/** Status of all answers, if set. */
 	failureStatus?: number;
-	/** Items under this prefix are not told. */
+	/** Range reads of this exact prefix fail with 503. */
 	withheldPrefix?: string;
-	/** Writes are done and not answered. */
+	/** Whether writes take effect and their connection is reset. */
 	losesReplies = false;
-	/** VMs, by their address, whose calls are refused. */
-	private readonly turnedAway = new Set<string>();
-	/** One server for each address that callers tell apart by. */
+	/** Addresses of the VMs whose calls are refused. */
+	private readonly refusedVms = new Set<string>();
+	/** One server per address, which identifies the calling VM. */
 	private readonly servers: http.Server[] = [];
 	private port = 0;
-	private readonly ranges = new Map<string, number>();
-	private readonly staleRanges = new Map<string, boolean>();
-	/** Calls by path, without the query. */
+	private readonly rangeReads = new Map<string, number>();
+	private readonly staleAllowedByPrefix = new Map<string, boolean>();
+	/** Number of calls by path, without the query. */
 	readonly calls = new Map<string, number>();
 
 	async start(): Promise<void> {
 		await this.listen('127.0.0.1');
 	}
 
-	/** Listens at the VM's own address, so that its calls are told from those of others. */
+	/** Listens at an address of the VM's own, which identifies its calls. */
 	async addressFor(vm: string): Promise<string> {
-		const isOpen = this.servers.some((server) => (server.address() as AddressInfo).address === vm);
-		if (!isOpen) {
+		const isListening = this.servers.some(
+			(server) => (server.address() as AddressInfo).address === vm,
+		);
+		if (!isListening) {
 			await this.listen(vm);
 		}
 		return `${vm}:${this.port}`;
 	}
 
-	/** Keys under a prefix. */
 	keys(prefix: string): string[] {
 		return [...this.items.keys()].filter((key) => key.startsWith(prefix));
 	}
 
-	/** How often all items under a prefix were asked for. */
+	/** Number of range reads of a prefix; each page counts. */
 	countRangeReads(prefix: string): number {
-		return this.ranges.get(prefix) ?? 0;
+		return this.rangeReads.get(prefix) ?? 0;
 	}
 
-	/** Refuses the VM's calls from now on, those that wait among them. */
+	/** Refuses all calls of the VM, including its pending watches. */
 	refuseVm(vm: string): void {
-		this.turnedAway.add(vm);
-		this.wake();
+		this.refusedVms.add(vm);
+		this.wakeWatches();
 	}
 
-	/** Serves the VM again. */
+	/** Accepts calls of the VM again. */
 	readmitVm(vm: string): void {
-		this.turnedAway.delete(vm);
+		this.refusedVms.delete(vm);
 	}
 
 	private async listen(host: string): Promise<void> {
@@ -125,13 +126,13 @@
 			'lease-id': lease,
 		};
 		this.items.set(key, item);
-		this.changed({ 'private-key': key, revision: this.revision, item });
+		this.recordChange({ 'private-key': key, revision: this.revision, item });
 	}
 
 	remove(key: string): void {
 		if (this.items.delete(key)) {
 			this.revision++;
-			this.changed({ 'private-key': key, revision: this.revision, deleted: true });
+			this.recordChange({ 'private-key': key, revision: this.revision, deleted: true });
 		}
 	}
 
@@ -140,14 +141,14 @@
 		return { items: new Map(this.items), leases, revision: this.revision };
 	}
 
-	/** Comes back from an older copy: what was written since is gone, and its revisions are given out again. */
+	/** Restores an older snapshot. Later writes are lost, and their revisions are reused. */
 	restore({ items, leases, revision }: StoreSnapshot): void {
 		for (const { timer } of this.leases.values()) {
 			clearTimeout(timer);
 		}
 		this.leases.clear();
 		for (const [id, ttlMs] of leases) {
-			this.leases.set(id, { ttlMs, timer: setTimeout(() => this.endLease(id), ttlMs) });
+			this.leases.set(id, { ttlMs, timer: setTimeout(() => this.expireLease(id), ttlMs) });
 		}
 		this.items.clear();
 		for (const [key, item] of items) {
@@ -161,20 +162,20 @@
 		}
 	}
 
-	/** Forgets the history and cuts all watches. */
+	/** Drops the change history; watches from older revisions fail with 410. */
 	compact(): void {
 		this.history = [];
-		this.oldest = this.revision;
-		this.wake();
+		this.compactedRevision = this.revision;
+		this.wakeWatches();
 	}
 
-	private changed(change: Change): void {
+	private recordChange(change: Change): void {
 		this.history.push(change);
-		this.wake();
+		this.wakeWatches();
 	}
 
-	private wake(): void {
-		for (const wake of [...this.waiting]) {
+	private wakeWatches(): void {
+		for (const wake of [...this.watchWakers]) {
 			wake();
 		}
 	}
@@ -185,7 +186,7 @@
 		this.calls.set(url.pathname, (this.calls.get(url.pathname) ?? 0) + 1);
 		const body = await readJson(req);
 		const caller = req.socket.localAddress ?? '';
-		if (this.refuses(caller)) {
+		if (this.isRefused(caller)) {
 			reply(res, this.failureStatus ?? 503, {});
 			return;
 		}
@@ -193,42 +194,42 @@
 		if (call === 'kv-range' && url.searchParams.get('path-prefix') === this.withheldPrefix) {
 			reply(res, 503, {});
 		} else if (call === 'kv-range') {
-			reply(res, 200, this.range(url.searchParams));
+			reply(res, 200, this.readRange(url.searchParams));
 		} else if (call === 'kv-key') {
 			const item = this.items.get(url.searchParams.get('private-key') ?? '');
 			reply(res, item ? 200 : 404, { ...item });
 		} else if (call === 'kv-watch') {
 			await this.watch(url.searchParams, res, caller);
 		} else if (call === 'kv-txn') {
-			this.write(body, res);
+			this.commitTransaction(body, res);
 			if (this.losesReplies) {
 				req.socket.resetAndDestroy();
 			}
 		} else if (call === 'kv-lease') {
-			reply(res, 200, this.grant(Number(body['ttl-ms'])));
+			reply(res, 200, this.grantLease(Number(body['ttl-ms'])));
 		} else if (call === 'kv-keep') {
-			reply(res, this.renew(Number(id)) ? 200 : 404, {});
+			reply(res, this.renewLease(Number(id)) ? 200 : 404, {});
 		} else if (call === 'kv-lease-end') {
-			this.endLease(Number(id));
+			this.expireLease(Number(id));
 			reply(res, 200, {});
 		} else {
 			reply(res, 404, {});
 		}
 	}
 
-	private range(query: URLSearchParams): Json {
+	private readRange(query: URLSearchParams): JsonObject {
 		const prefix = query.get('path-prefix') ?? '';
 		const after = query.get('since-revision') ?? '';
-		this.ranges.set(prefix, this.countRangeReads(prefix) + 1);
-		this.staleRanges.set(prefix, query.get('stale-ok') === '1');
+		this.rangeReads.set(prefix, this.countRangeReads(prefix) + 1);
+		this.staleAllowedByPrefix.set(prefix, query.get('stale-ok') === '1');
 		const keys = [...this.items.keys()].filter((key) => key.startsWith(prefix) && key > after);
-		const page = keys.sort().slice(0, 5);
-		const entries = page.map((key) => this.items.get(key));
-		return { entries, 'has-more': keys.length > page.length, timestamp: this.revision };
+		const pageKeys = keys.sort().slice(0, 5);
+		const entries = pageKeys.map((key) => this.items.get(key));
+		return { entries, 'has-more': keys.length > pageKeys.length, timestamp: this.revision };
 	}
 
-	private refuses(caller: string): boolean {
-		return this.failureStatus !== undefined || this.turnedAway.has(caller);
+	private isRefused(caller: string): boolean {
+		return this.failureStatus !== undefined || this.refusedVms.has(caller);
 	}
 
 	private async watch(
@@ -238,47 +239,47 @@
 	): Promise<void> {
 		const prefix = query.get('path-prefix') ?? '';
 		const since = Number(query.get('since-revision'));
-		const until = Date.now() + Number(query.get('wait-ms'));
+		const deadline = Date.now() + Number(query.get('wait-ms'));
 		for (;;) {
-			if (this.refuses(caller)) {
+			if (this.isRefused(caller)) {
 				reply(res, this.failureStatus ?? 503, {});
 				return;
 			}
-			if (since < this.oldest || since > this.revision) {
+			if (since < this.compactedRevision || since > this.revision) {
 				reply(res, 410, {});
 				return;
 			}
 			const events = this.history
 				.filter((change) => change.revision > since && change['private-key'].startsWith(prefix))
-				.map(({ item, ...gone }) => item ?? gone);
-			if (events.length > 0 || Date.now() >= until || res.destroyed) {
+				.map(({ item, ...deletion }) => item ?? deletion);
+			if (events.length > 0 || Date.now() >= deadline || res.destroyed) {
 				reply(res, 200, { events, timestamp: this.revision });
 				return;
 			}
-			await this.nextChange(until - Date.now());
+			await this.waitForChange(deadline - Date.now());
 		}
 	}
 
-	private nextChange(waitMs: number): Promise<void> {
+	private waitForChange(waitMs: number): Promise<void> {
 		return new Promise((done) => {
 			const wake = () => {
 				clearTimeout(timer);
-				this.waiting.delete(wake);
+				this.watchWakers.delete(wake);
 				done();
 			};
 			const timer = setTimeout(wake, waitMs);
-			this.waiting.add(wake);
+			this.watchWakers.add(wake);
 		});
 	}
 
-	private write(body: Json, res: http.ServerResponse): void {
-		const expected = (body['expected-revision'] ?? []) as Json[];
+	private commitTransaction(body: JsonObject, res: http.ServerResponse): void {
+		const expected = (body['expected-revision'] ?? []) as JsonObject[];
 		const current = expected.map((row) => this.items.get(String(row['private-key'])));
-		if (expected.some(({ revision }, at) => (current[at]?.revision ?? 0) !== revision)) {
+		if (expected.some(({ revision }, index) => (current[index]?.revision ?? 0) !== revision)) {
 			reply(res, 412, { entries: current.filter(Boolean) });
 			return;
 		}
-		const rows = (body.write ?? []) as Json[];
+		const rows = (body.write ?? []) as JsonObject[];
 		for (const row of rows) {
 			const lease = Number(row['lease-id'] ?? 0);
 			if (lease !== 0 && !this.leases.has(lease)) {
@@ -291,35 +292,34 @@
 		reply(res, 200, { revision: this.revision });
 	}
 
-	/** Ends all leases now. */
 	expireLeases(): void {
 		for (const id of [...this.leases.keys()]) {
-			this.endLease(id);
+			this.expireLease(id);
 		}
 	}
 
-	/** Whether the last range of a prefix allowed for old entries. */
+	/** Whether the last range read of a prefix allowed stale entries. */
 	allowedStaleEntries(prefix: string): boolean {
-		return this.staleRanges.get(prefix) === true;
+		return this.staleAllowedByPrefix.get(prefix) === true;
 	}
 
-	private grant(ttlMs: number): Json {
-		const id = this.nextLease++;
-		this.leases.set(id, { ttlMs, timer: setTimeout(() => this.endLease(id), ttlMs) });
+	private grantLease(ttlMs: number): JsonObject {
+		const id = this.nextLeaseId++;
+		this.leases.set(id, { ttlMs, timer: setTimeout(() => this.expireLease(id), ttlMs) });
 		return { 'lease-id': id, 'ttl-ms': ttlMs };
 	}
 
-	private renew(id: number): boolean {
+	private renewLease(id: number): boolean {
 		const lease = this.leases.get(id);
 		if (!lease) {
 			return false;
 		}
 		clearTimeout(lease.timer);
-		lease.timer = setTimeout(() => this.endLease(id), lease.ttlMs);
+		lease.timer = setTimeout(() => this.expireLease(id), lease.ttlMs);
 		return true;
 	}
 
-	private endLease(id: number): void {
+	private expireLease(id: number): void {
 		clearTimeout(this.leases.get(id)?.timer);
 		this.leases.delete(id);
 		for (const item of [...this.items.values()]) {
@@ -330,16 +330,16 @@
 	}
 }
 
-async function readJson(req: http.IncomingMessage): Promise<Json> {
+async function readJson(req: http.IncomingMessage): Promise<JsonObject> {
 	const chunks: Buffer[] = [];
 	for await (const chunk of req) {
 		chunks.push(chunk as Buffer);
 	}
 	const text = Buffer.concat(chunks).toString();
-	return text === '' ? {} : (JSON.parse(text) as Json);
+	return text === '' ? {} : (JSON.parse(text) as JsonObject);
 }
 
-function reply(res: http.ServerResponse, status: number, body: Json): void {
+function reply(res: http.ServerResponse, status: number, body: JsonObject): void {
 	res.writeHead(status, { 'content-type': 'application/json' });
 	res.end(JSON.stringify(body));
 }
--- a/test/stand-ins/platform.ts
+++ b/test/stand-ins/platform.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of the platform: key-value service with its rates, outages, slow and lost replies; VM
- * list with lag; weight store with its rate.
+ * Stand-in for the platform over HTTP: a rate-limited key-value store with leases and watches, a
+ * delayed VM list, a rate-limited weight store and injectable faults.
  * @module
  */
 import * as http from 'node:http';
@@ -12,17 +12,19 @@
 	lease?: string;
 }
 
-/** Faults, set by POST /control. Milliseconds. */
+/** Injected faults, set by POST /control. */
 interface Faults {
+	/** Resets all calls to the key-value store. */
 	down: boolean;
 	delayMs: number;
-	/** This many next writes take effect, and their reply is lost. */
+	/** Number of next writes that take effect without a reply. */
 	loseReplies: number;
 	vmListLagMs: number;
-	/** Weights that the store has, and its rate. */
+	/** Names in the weight store. */
 	weights: string[];
+	/** Maximum rate of the weight store; it answers 429 above it. */
 	weightsPerSecond: number;
-	/** Calls taken in a second; more are answered with 429. */
+	/** Maximum rate of the key-value store; it answers 429 above it. */
 	callsPerSecond: number;
 }
 
@@ -37,7 +39,7 @@
 
 export class Platform {
 	readonly server: http.Server;
-	/** Calls to the key-value service; a waiting watch is one. */
+	/** Number of calls to the key-value store; a pending watch counts once. */
 	calls = 0;
 	writes = 0;
 	private readonly faults: Faults = {
@@ -53,11 +55,11 @@
 	private readonly leases = new Map<string, NodeJS.Timeout>();
 	private readonly watchers = new Set<() => void>();
 	private rev = 0;
-	private leaseSeq = 0;
-	private weightsFreeAt = 0;
-	private second = 0;
+	private lastLeaseNumber = 0;
+	private weightsAvailableAt = 0;
+	private currentSecond = 0;
 	private callsThisSecond = 0;
-	private shownVms: Vm[] = [];
+	private listedVms: Vm[] = [];
 	private readonly vms = new Map<string, Vm>();
 
 	constructor() {
@@ -78,29 +80,29 @@
 		const body = Buffer.concat(chunks).toString('utf8');
 		if (url.pathname === '/control') {
 			Object.assign(this.faults, JSON.parse(body));
-			send(res, 200, this.faults);
+			sendJson(res, 200, this.faults);
 		} else if (url.pathname === '/stats') {
-			send(res, 200, { calls: this.calls, writes: this.writes });
+			sendJson(res, 200, { calls: this.calls, writes: this.writes });
 		} else if (url.pathname.startsWith('/weights/')) {
-			this.weights(res, url.pathname.slice('/weights/'.length));
+			this.handleWeights(res, url.pathname.slice('/weights/'.length));
 		} else if (url.pathname === '/vms') {
-			this.vmList(req, res, body);
+			this.handleVmList(req, res, body);
 		} else {
-			await this.keyValue(req, res, url, body);
+			await this.handleKeyValue(req, res, url, body);
 		}
 	}
 
-	private weights(res: http.ServerResponse, name: string): void {
+	private handleWeights(res: http.ServerResponse, name: string): void {
 		const now = performance.now();
-		if (now < this.weightsFreeAt) {
-			send(res, 429, {});
+		if (now < this.weightsAvailableAt) {
+			sendJson(res, 429, {});
 			return;
 		}
-		this.weightsFreeAt = now + 1000 / this.faults.weightsPerSecond;
-		send(res, this.faults.weights.includes(name) ? 200 : 404, { name });
+		this.weightsAvailableAt = now + 1000 / this.faults.weightsPerSecond;
+		sendJson(res, this.faults.weights.includes(name) ? 200 : 404, { name });
 	}
 
-	private vmList(req: http.IncomingMessage, res: http.ServerResponse, body: string): void {
+	private handleVmList(req: http.IncomingMessage, res: http.ServerResponse, body: string): void {
 		if (req.method === 'POST') {
 			const vm = JSON.parse(body) as Vm;
 			if (vm.state === 'gone') {
@@ -108,18 +110,18 @@
 			} else {
 				this.vms.set(vm.id, vm);
 			}
-			const shown = [...this.vms.values()];
-			const show = () => {
-				this.shownVms = shown;
+			const snapshot = [...this.vms.values()];
+			const publish = () => {
+				this.listedVms = snapshot;
 			};
-			setTimeout(show, this.faults.vmListLagMs);
-			send(res, 200, {});
+			setTimeout(publish, this.faults.vmListLagMs);
+			sendJson(res, 200, {});
 			return;
 		}
-		send(res, 200, this.shownVms);
+		sendJson(res, 200, this.listedVms);
 	}
 
-	private async keyValue(
+	private async handleKeyValue(
 		req: http.IncomingMessage,
 		res: http.ServerResponse,
 		url: URL,
@@ -129,8 +131,8 @@
 			res.destroy();
 			return;
 		}
-		if (!this.withinRate()) {
-			send(res, 429, {});
+		if (!this.isWithinRate()) {
+			sendJson(res, 429, {});
 			return;
 		}
 		this.calls++;
@@ -138,92 +140,97 @@
 		await new Promise((done) => setTimeout(done, this.faults.delayMs));
 		const path = url.pathname.split('/').slice(1).map(decodeURIComponent);
 		if (path[0] === 'leases') {
-			this.lease(req, res, url, path[1]);
+			this.handleLease(req, res, url, path[1]);
 		} else if (req.method === 'PUT') {
-			this.swap(res, path.slice(1).join('/'), url, body);
+			this.compareAndSwap(res, path.slice(1).join('/'), url, body);
 		} else {
-			this.read(res, path.slice(1).join('/'), url);
+			this.readOrWatch(res, path.slice(1).join('/'), url);
 		}
 	}
 
-	private withinRate(): boolean {
+	private isWithinRate(): boolean {
 		const second = Math.floor(performance.now() / 1000);
-		if (second !== this.second) {
-			this.second = second;
+		if (second !== this.currentSecond) {
+			this.currentSecond = second;
 			this.callsThisSecond = 0;
 		}
 		this.callsThisSecond++;
 		return this.callsThisSecond <= this.faults.callsPerSecond;
 	}
 
-	private read(res: http.ServerResponse, key: string, url: URL): void {
+	private readOrWatch(res: http.ServerResponse, key: string, url: URL): void {
 		const after = Number(url.searchParams.get('after') ?? -1);
 		const waitMs = Number(url.searchParams.get('wait_ms') ?? 0);
-		const answer = () => {
-			this.watchers.delete(changed);
+		const sendEntry = () => {
+			this.watchers.delete(onChange);
 			clearTimeout(timer);
 			const entry = this.entries.get(key);
-			send(res, entry ? 200 : 404, entry ? { value: entry.value, rev: entry.rev } : {});
+			sendJson(res, entry ? 200 : 404, entry ? { value: entry.value, rev: entry.rev } : {});
 		};
-		const changed = () => {
+		const onChange = () => {
 			if ((this.entries.get(key)?.rev ?? 0) > after) {
-				answer();
+				sendEntry();
 			}
 		};
-		const timer = setTimeout(answer, waitMs);
-		this.watchers.add(changed);
-		changed();
+		const timer = setTimeout(sendEntry, waitMs);
+		this.watchers.add(onChange);
+		onChange();
 	}
 
-	private swap(res: http.ServerResponse, key: string, url: URL, value: string): void {
+	private compareAndSwap(res: http.ServerResponse, key: string, url: URL, value: string): void {
 		const current = this.entries.get(key);
 		if ((current?.rev ?? 0) !== Number(url.searchParams.get('rev'))) {
-			send(res, 409, current ? { value: current.value, rev: current.rev } : {});
+			sendJson(res, 409, current ? { value: current.value, rev: current.rev } : {});
 			return;
 		}
 		const lease = url.searchParams.get('lease') ?? undefined;
 		if (lease !== undefined && !this.leases.has(lease)) {
-			send(res, 410, {});
+			sendJson(res, 410, {});
 			return;
 		}
 		this.rev++;
 		this.entries.set(key, { value, rev: this.rev, lease });
-		this.notify();
+		this.notifyWatchers();
 		if (this.faults.loseReplies > 0) {
 			this.faults.loseReplies--;
 			res.destroy();
 			return;
 		}
-		send(res, 200, { rev: this.rev });
+		sendJson(res, 200, { rev: this.rev });
 	}
 
-	private lease(req: http.IncomingMessage, res: http.ServerResponse, url: URL, id?: string): void {
+	private handleLease(
+		req: http.IncomingMessage,
+		res: http.ServerResponse,
+		url: URL,
+		id?: string,
+	): void {
 		if (req.method === 'POST' && id === undefined) {
-			this.leaseSeq++;
-			const fresh = `lease-${this.leaseSeq}`;
-			this.arm(fresh, Number(url.searchParams.get('ttl_ms')));
-			send(res, 200, { id: fresh });
+			this.lastLeaseNumber++;
+			const newId = `lease-${this.lastLeaseNumber}`;
+			this.startLease(newId, Number(url.searchParams.get('ttl_ms')));
+			sendJson(res, 200, { id: newId });
 			return;
 		}
 		const timer = this.leases.get(id ?? '');
 		if (!timer) {
-			send(res, 404, {});
+			sendJson(res, 404, {});
 			return;
 		}
 		if (req.method === 'DELETE') {
-			this.lapse(id ?? '');
+			this.endLease(id ?? '');
 		} else {
 			timer.refresh();
 		}
-		send(res, 200, {});
+		sendJson(res, 200, {});
 	}
 
-	private arm(id: string, ttlMs: number): void {
-		const timer = setTimeout(() => this.lapse(id), ttlMs);
+	private startLease(id: string, ttlMs: number): void {
+		const timer = setTimeout(() => this.endLease(id), ttlMs);
 		this.leases.set(id, timer);
 	}
 
-	private lapse(id: string): void {
+	private endLease(id: string): void {
 		clearTimeout(this.leases.get(id));
 		this.leases.delete(id);
 		for (const [key, entry] of this.entries) {
@@ -231,17 +238,17 @@
 				this.entries.delete(key);
 			}
 		}
-		this.notify();
+		this.notifyWatchers();
 	}
 
-	private notify(): void {
+	private notifyWatchers(): void {
 		for (const watcher of [...this.watchers]) {
 			watcher();
 		}
 	}
 }
 
-function send(res: http.ServerResponse, status: number, value: unknown): void {
+function sendJson(res: http.ServerResponse, status: number, value: unknown): void {
 	res.writeHead(status, { 'content-type': 'application/json' });
 	res.end(JSON.stringify(value));
 }
--- a/test/steps/programs.steps.ts
+++ b/test/steps/programs.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps that run the two programs.
+ * Steps that run the daemon and the command-line tool.
  * @module
  */
 import * as assert from 'node:assert/strict';
@@ -13,13 +13,16 @@
 
 const programs = { slategauged: 'dist/src/daemon/main.js', slategauge: 'dist/src/cli/main.js' };
 
-interface Ran {
+interface ProgramResult {
 	code: number | null;
 	output: string;
 }
 
-/** Runs a program to its end. */
-export async function runProgram(program: keyof typeof programs, args: string[]): Promise<Ran> {
+/** Runs a program until it exits; the output combines both streams. */
+export async function runProgram(
+	program: keyof typeof programs,
+	args: string[],
+): Promise<ProgramResult> {
 	const child = childProcess.spawn(process.execPath, [programs[program], ...args]);
 	let output = '';
 	child.stdout.on('data', (chunk) => {
@@ -68,12 +71,12 @@
 );
 
 cucumber.Then('it exits with {int}', function (this: FleetWorld, code: number) {
-	const ran = this.state.get('ran') as Ran;
-	assert.equal(ran.code, code, ran.output);
+	const result = this.state.get('ran') as ProgramResult;
+	assert.equal(result.code, code, result.output);
 });
 
 cucumber.Then('it prints {string}', function (this: FleetWorld, text: string) {
-	const { output } = this.state.get('ran') as Ran;
+	const { output } = this.state.get('ran') as ProgramResult;
 	assert.ok(output.includes(text), output);
 });
 
--- a/test/steps/world.ts
+++ b/test/steps/world.ts
@@ -1,5 +1,5 @@
 /**
- * What the steps of one scenario share, and the end of every process it started.
+ * State shared by the steps of one scenario, and the cleanup of the processes it started.
  * @module
  */
 import * as cucumber from '@cucumber/cucumber';
@@ -14,7 +14,7 @@
 export class FleetWorld extends cucumber.World {
 	fleet?: Fleet;
 	configuration?: Configuration;
-	/** Answers and outcomes by the name that the scenario gives them. */
+	/** Values that steps pass on to later steps, by name. */
 	readonly state = new Map<string, unknown>();
 
 	async start(
@@ -36,7 +36,7 @@
 
 	get runningFleet(): Fleet {
 		if (!this.fleet) {
-			throw new Error('no fleet was started');
+			throw new Error('the scenario has not started a fleet');
 		}
 		return this.fleet;
 	}
