--- a/test/steps/engine-limits.steps.ts
+++ b/test/steps/engine-limits.steps.ts
@@ -275,7 +275,7 @@
 		const choose = () => ({ engine: engines[requested.length] });
 		const ctx = {
 			clock: clockOf(this),
-			engines: { offered: () => engines },
+			engines: { eligible: () => engines },
 			placement: { choose },
 			fleetHealth: alwaysHealthy,
 			limits: {
