--- a/src/core/duties/duty-holder.ts
+++ b/src/core/duties/duty-holder.ts
@@ -1,7 +1,6 @@
 /**
- * Elects the VM that acts for the whole fleet: the one that holds a store key under a lease. The revision of the key
- * is the fencing token, so it increases with each holder and the platform can refuse a superseded one.
- * The holder keeps the duty until it stops, its lease ends or it sees a higher token.
+ * Elects the VM that acts for the fleet: the one that holds a store key under a lease. The revision of the key is the fencing
+ * token, so it increases with each holder and the platform can refuse a superseded one.
  * @module
  */
 import type { Clock, Log, Random } from '../definitions.js';
--- a/src/core/duties/engine-autoscaler.ts
+++ b/src/core/duties/engine-autoscaler.ts
@@ -85,7 +85,7 @@
 	/** Sends the orders that are due; called several times a second. */
 	async update(): Promise<void> {
 		const { now } = this;
-		this.trackHolding(now);
+		this.trackTerm(now);
 		if (this.isBusy || this.heldSince === undefined || now < this.nextPlanAt) {
 			return;
 		}
@@ -105,7 +105,7 @@
 	}
 
 	/** Forgets the orders of an earlier term, because another holder may have ordered since. */
-	private trackHolding(now: number): void {
+	private trackTerm(now: number): void {
 		if (this.opts.holder.actingToken === undefined) {
 			this.heldSince = undefined;
 			this.lastOrders.clear();
--- a/src/core/duties/engine-plan.ts
+++ b/src/core/duties/engine-plan.ts
@@ -1,7 +1,7 @@
 /**
- * Computes the desired number of spot and regular engines per failure domain, without keeping state.
- * Spot engines are cheaper, but a whole domain can lose them at once. They are spread over all domains with enough headroom for
- * the loss of one, and regular engines cover only what is still missing.
+ * Computes the desired number of spot and regular engines per failure domain, without keeping state. Spot engines are cheaper,
+ * but a domain can lose all of them at once. They are spread over all domains with enough headroom for the loss of one, and
+ * regular engines cover only what is still missing.
  * @module
  */
 import type { ScalingLimits } from '../routing/types.js';
@@ -27,16 +27,16 @@
 	regular: number;
 }
 
-/** @param now one entry per domain */
+/** @param current one entry per domain */
 export function planEngines(
 	need: EngineNeed,
 	limits: ScalingLimits,
-	now: readonly DomainEngines[],
+	current: readonly DomainEngines[],
 ): DomainPlan[] {
-	const spot = planSpot(need.wanted, limits, now);
+	const spot = planSpot(need.wanted, limits, current);
 	const isRegularOnly = limits.spotPrice >= 1;
-	const regular = planRegular(isRegularOnly ? need.wanted : need.required, limits, now);
-	return now.map(({ domain }, index) => {
+	const regular = planRegular(isRegularOnly ? need.wanted : need.required, limits, current);
+	return current.map(({ domain }, index) => {
 		const spotHere = spot[index] ?? 0;
 		const regularHere = regular[index] ?? 0;
 		// Keeps the configured minimum in each domain.
@@ -46,18 +46,22 @@
 }
 
 /** Spreads spot engines evenly, with headroom for the loss of a domain; domains without available spot engines keep theirs. */
-function planSpot(wanted: number, limits: ScalingLimits, now: readonly DomainEngines[]): number[] {
+function planSpot(
+	wanted: number,
+	limits: ScalingLimits,
+	current: readonly DomainEngines[],
+): number[] {
 	if (limits.spotPrice >= 1) {
-		return now.map(() => 0);
+		return current.map(() => 0);
 	}
-	const domains = now.length;
+	const domains = current.length;
 	const withHeadroom = Math.ceil((wanted * domains) / Math.max(1, domains - 1));
-	const unavailable = now.filter(({ isSpotUnavailable }) => isSpotUnavailable);
+	const unavailable = current.filter(({ isSpotUnavailable }) => isSpotUnavailable);
 	const kept = unavailable.reduce((sum, { spot }) => sum + spot, 0);
 	const each = Math.ceil(
 		Math.max(0, withHeadroom - kept) / Math.max(1, domains - unavailable.length),
 	);
-	return now.map(({ spot, regular, isSpotUnavailable }) => {
+	return current.map(({ spot, regular, isSpotUnavailable }) => {
 		const capacity = Math.max(0, limits.maxEngines - regular);
 		return Math.min(isSpotUnavailable ? spot : each, capacity);
 	});
@@ -70,24 +74,27 @@
 function planRegular(
 	required: number,
 	limits: ScalingLimits,
-	now: readonly DomainEngines[],
+	current: readonly DomainEngines[],
 ): number[] {
-	const serving = now.reduce((sum, { spot }) => sum + spot, 0);
-	const booting = now.reduce((sum, one) => sum + (one.isSpotUnavailable ? 0 : one.spotBooting), 0);
-	const present = now.reduce((sum, one) => sum + one.regular + one.regularBooting, 0);
+	const serving = current.reduce((sum, { spot }) => sum + spot, 0);
+	const booting = current.reduce(
+		(sum, one) => sum + (one.isSpotUnavailable ? 0 : one.spotBooting),
+		0,
+	);
+	const present = current.reduce((sum, one) => sum + one.regular + one.regularBooting, 0);
 	const maxRegular = Math.max(0, required - serving);
 	const minRegular = Math.max(0, maxRegular - booting);
 	const wanted = Math.min(Math.max(present, minRegular), maxRegular);
-	return distributeRegular(wanted, limits, now);
+	return distributeRegular(wanted, limits, current);
 }
 
 /** Keeps engines where they are and adds new ones in the cheapest domains with capacity left. */
 function distributeRegular(
 	total: number,
 	limits: ScalingLimits,
-	now: readonly DomainEngines[],
+	current: readonly DomainEngines[],
 ): number[] {
-	const present = now.map(({ regular, regularBooting }) => regular + regularBooting);
+	const present = current.map(({ regular, regularBooting }) => regular + regularBooting);
 	const sum = present.reduce((all, one) => all + one, 0);
 	if (total <= sum) {
 		// Rounds up, since a shortage is worse than a temporary surplus.
@@ -95,12 +102,12 @@
 	}
 	const shares = [...present];
 	const priceOf = (index: number) =>
-		limits.domains.find(({ name }) => name === now[index]?.domain)?.price ?? 1;
-	const cheapestFirst = now.map((_, index) => index).sort((a, b) => priceOf(a) - priceOf(b));
+		limits.domains.find(({ name }) => name === current[index]?.domain)?.price ?? 1;
+	const cheapestFirst = current.map((_, index) => index).sort((a, b) => priceOf(a) - priceOf(b));
 	let left = total - sum;
 	for (let round = 0; left > 0 && round < limits.maxEngines; round++) {
 		for (const index of cheapestFirst) {
-			const isFull = (shares[index] ?? 0) + (now[index]?.spot ?? 0) >= limits.maxEngines;
+			const isFull = (shares[index] ?? 0) + (current[index]?.spot ?? 0) >= limits.maxEngines;
 			if (left > 0 && !isFull) {
 				shares[index] = (shares[index] ?? 0) + 1;
 				left--;
--- a/src/core/duties/usage-records.ts
+++ b/src/core/duties/usage-records.ts
@@ -1,7 +1,6 @@
 /**
- * The last usage reports in the store: those that any duty holder sent or was about to send. After the store was restored from
- * an older copy, only the VM that held the duty then knows what was sent; any other skips the windows that had ended, since its
- * own counts might differ from what the platform received.
+ * The last usage reports in the store: those that a duty holder sent or was about to send. After the store was restored from an
+ * older copy, only the VM that held the duty knows what was sent; any other VM skips the windows that had ended.
  * @module
  */
 import type { Log } from '../definitions.js';
--- a/src/core/engines/cost-model.ts
+++ b/src/core/engines/cost-model.ts
@@ -11,7 +11,7 @@
 import type { CostEstimates } from './work-estimate.js';
 import { effectiveTokens, readingMs, scaleByPace } from './work-estimate.js';
 
-/** Estimates used until observations arrive; typical of large models on current accelerators. */
+/** Estimates used until observations arrive. */
 const prior = {
 	readMsPerToken: 0.02,
 	firstEventOverheadMs: 10,
@@ -27,11 +27,11 @@
 const priorTokens = 3000;
 /** Below this number of tokens all delays are equally noisy, as overhead dominates the reading. */
 const noiseFloorTokens = 500;
-/** Decay of the observations of one VM: short enough to follow a rollout of faster engines within seconds. */
+/** Decay of the observations of one VM, in observations. */
 const decayObservations = 150;
 /** Quantile of the pauses that represents an undisturbed one: longer pauses overlap the reading of prompts. */
 const undisturbedQuantile = 0.3;
-/** Relative step of the settled pause estimate: small enough to be stable, yet it follows a change within some 50 events. */
+/** Relative step of the pause estimate once it is settled. */
 const pauseStep = 0.03;
 const pauseSettledAfter = 100;
 /** Weight of the prior of tokens per event, in events. */
@@ -159,24 +159,24 @@
 		this.cached = undefined;
 	}
 
-	/** @param names VMs whose sums are added to those of this VM */
-	export(names: readonly string[]): CostSums {
-		const peers = names.flatMap((name) => this.peerSums.get(name) ?? []);
+	/** @param vmNames VMs whose sums are added to those of this VM */
+	export(vmNames: readonly string[]): CostSums {
+		const peers = vmNames.flatMap((name) => this.peerSums.get(name) ?? []);
 		return { service: this.ref, ...sumOf([this.ownSums(), ...peers]) };
 	}
 
 	/** Whether this VM or any of the named ones has observations. */
-	hasObservations(names: readonly string[]): boolean {
-		return this.observations > 0 || names.some((name) => this.peerSums.has(name));
+	hasObservations(vmNames: readonly string[]): boolean {
+		return this.observations > 0 || vmNames.some((name) => this.peerSums.has(name));
 	}
 
-	merge(from: string, sums: CostSums): void {
-		this.peerSums.set(from, sums);
+	merge(peer: string, sums: CostSums): void {
+		this.peerSums.set(peer, sums);
 		this.updatePeerSums();
 	}
 
-	removePeer(from: string): void {
-		if (this.peerSums.delete(from)) {
+	removePeer(peer: string): void {
+		if (this.peerSums.delete(peer)) {
 			this.updatePeerSums();
 		}
 	}
@@ -233,7 +233,7 @@
 		return scaleByPace(this.of(service), this.paces.getPace(service, engine, now));
 	}
 
-	/** Evidence behind the estimates: first events that this VM observed, and VMs that shared theirs. */
+	/** Counts the first events that this VM observed, and the VMs whose observations are included. */
 	sources(service: string): { observations: number; peers: number } {
 		const { observations, peers } = this.costsOf(rendezvous.hashText(service));
 		return { observations, peers };
@@ -267,24 +267,24 @@
 		this.costsOf(rendezvous.hashText(service)).recordAnswer(answer);
 	}
 
-	/** @param names VMs whose sums are added to those of this VM */
-	export(names: readonly string[]): CostSums[] {
+	/** @param vmNames VMs whose sums are added to those of this VM */
+	export(vmNames: readonly string[]): CostSums[] {
 		return [...this.services.values()]
-			.filter((costs) => costs.hasObservations(names))
-			.map((costs) => costs.export(names));
+			.filter((costs) => costs.hasObservations(vmNames))
+			.map((costs) => costs.export(vmNames));
 	}
 
 	/** Replaces the sums that another VM sent before. */
-	merge(from: string, received: readonly CostSums[]): void {
+	merge(peer: string, received: readonly CostSums[]): void {
 		for (const sums of received) {
-			this.costsOf(sums.service).merge(from, sums);
+			this.costsOf(sums.service).merge(peer, sums);
 		}
 	}
 
 	/** Drops the sums of another VM. The engine paces that it sent decay on their own. */
-	removePeer(from: string): void {
+	removePeer(peer: string): void {
 		for (const costs of this.services.values()) {
-			costs.removePeer(from);
+			costs.removePeer(peer);
 		}
 	}
 
--- a/src/core/engines/engine-directory.ts
+++ b/src/core/engines/engine-directory.ts
@@ -13,7 +13,7 @@
 import { PastIncarnations } from './past-incarnations.js';
 import type { EngineRegistration } from './types.js';
 
-/** Grace period for missing registrations after a store outage; live engines register again within about 2 s. */
+/** Grace period for missing registrations after a store outage, in milliseconds; live engines register again within it. */
 const reregistrationGraceMs = 1900;
 /** Copy of the directory for a peer, as JSON: all ids, and the registrations that changed. */
 interface DirectoryCopy {
--- a/src/core/engines/engine-notices.ts
+++ b/src/core/engines/engine-notices.ts
@@ -18,7 +18,7 @@
 	private draining = false;
 	/** In milliseconds since boot, which keep counting while the VM is suspended. */
 	private backOffUntil = Number.NEGATIVE_INFINITY;
-	/** Last announced limit, kept to detect changes; the limit in force belongs to the whole fleet. */
+	/** Last announced limit, kept to detect changes; `LimitLedger` holds the limit in force. */
 	private limitPerS?: number;
 
 	/** Never reset: only a later incarnation accepts work again. */
--- a/src/core/engines/engine-paces.ts
+++ b/src/core/engines/engine-paces.ts
@@ -78,10 +78,10 @@
 		}));
 	}
 
-	export(names: readonly string[], now: number, maxEngines: number): ServicePaceSums {
+	export(vmNames: readonly string[], now: number, maxEngines: number): ServicePaceSums {
 		this.update(now);
 		const sums = new Map<EngineRef, PaceSums>();
-		const sources = [this.own, ...names.flatMap((name) => this.peerSums.get(name) ?? [])];
+		const sources = [this.own, ...vmNames.flatMap((name) => this.peerSums.get(name) ?? [])];
 		for (const source of sources) {
 			for (const [engine, decaying] of source) {
 				const sum = sums.get(engine) ?? emptyPaceSums();
@@ -96,10 +96,10 @@
 		return { service: this.ref, engines: exported.map((engine) => row(engine, sums.get(engine))) };
 	}
 
-	merge(from: string, rows: readonly EnginePaceSums[], now: number): void {
+	merge(peer: string, rows: readonly EnginePaceSums[], now: number): void {
 		this.update(now);
-		const source = this.peerSums.get(from) ?? new Map<EngineRef, DecayingSums>();
-		this.peerSums.set(from, source);
+		const source = this.peerSums.get(peer) ?? new Map<EngineRef, DecayingSums>();
+		this.peerSums.set(peer, source);
 		for (const { engine, ...sums } of rows) {
 			const pace = this.paceOf(engine, now);
 			const previous = source.get(engine);
@@ -113,11 +113,11 @@
 		}
 	}
 
-	removePeer(from: string, now: number): void {
-		for (const [engine, decaying] of this.peerSums.get(from) ?? []) {
+	removePeer(peer: string, now: number): void {
+		for (const [engine, decaying] of this.peerSums.get(peer) ?? []) {
 			this.engines.get(engine)?.recent.add(now, decaying.read(now), -1);
 		}
-		this.peerSums.delete(from);
+		this.peerSums.delete(peer);
 	}
 
 	removeEngine(engine: EngineRef): void {
@@ -211,25 +211,25 @@
 
 	/**
 	 * Exports recent observations for gossip.
-	 * @param names VMs whose observations are added to those of this VM
+	 * @param vmNames VMs whose observations are added to those of this VM
 	 * @param maxEngines maximum number of engines of a service; the others follow in turn with the next calls
 	 */
-	export(names: readonly string[], now: number, maxEngines: number): ServicePaceSums[] {
-		const all = [...this.services.values()].map((paces) => paces.export(names, now, maxEngines));
+	export(vmNames: readonly string[], now: number, maxEngines: number): ServicePaceSums[] {
+		const all = [...this.services.values()].map((paces) => paces.export(vmNames, now, maxEngines));
 		return all.filter(({ engines }) => engines.length > 0);
 	}
 
 	/** Replaces what another VM sent before about the same engines. */
-	merge(from: string, received: readonly ServicePaceSums[], now: number): void {
+	merge(peer: string, received: readonly ServicePaceSums[], now: number): void {
 		for (const { service, engines } of received) {
-			this.byRef(service).merge(from, engines, now);
+			this.byRef(service).merge(peer, engines, now);
 		}
 	}
 
 	/** Drops the observations of another VM. */
-	removePeer(from: string, now: number): void {
+	removePeer(peer: string, now: number): void {
 		for (const paces of this.services.values()) {
-			paces.removePeer(from, now);
+			paces.removePeer(peer, now);
 		}
 	}
 
--- a/src/core/engines/engine-sample.ts
+++ b/src/core/engines/engine-sample.ts
@@ -1,8 +1,6 @@
 /**
- * Limits the engines that a request is scored against, where a service has many.
- *
- * Gossip about placements by other VMs is tens of milliseconds old. If all VMs chose the cheapest engine by the same gossip, they
- * would overload it; choosing the cheapest of a random sample spreads the requests.
+ * Limits the engines that a request is scored against, where a service has many. Gossip about placements is slightly old, so
+ * VMs that all chose the cheapest engine would overload it; the cheapest of a random sample spreads the requests.
  * @module
  */
 import type { Random } from '../definitions.js';
--- a/src/core/engines/estimators.ts
+++ b/src/core/engines/estimators.ts
@@ -1,6 +1,6 @@
 /**
- * Online estimators of a line and of a quantile. Each starts at a prior, decays old observations and limits the
- * influence of outliers. The sums behind a line can be shared with other VMs and added up.
+ * Online estimators of a line and of a quantile. Each starts at a prior, decays old observations and limits the influence of
+ * outliers. The sums of a line can be added up across VMs.
  * @module
  */
 
--- a/src/core/engines/fleet-health.ts
+++ b/src/core/engines/fleet-health.ts
@@ -1,6 +1,6 @@
 /**
- * Fleet-wide circuit breaker over the recent answers that all VMs got from each engine. In a large fleet with few requests per VM
- * and engine, it opens after as many failures as one VM alone would need, rather than after that many on every VM.
+ * Fleet-wide circuit breaker over the recent answers that all VMs got from each engine. Where each VM sends few requests to an
+ * engine, it opens after a few failures in total rather than on every VM.
  * @module
  */
 import type { Clock, Log, Random } from '../definitions.js';
@@ -55,17 +55,17 @@
 	getEngineId: (ref: EngineRef) => string | undefined;
 }
 
-/** Exchange of answer counts with other VMs. */
+/** Exchange of answer counts through gossip. */
 export interface AnswerGossip {
-	/** @param names VMs whose counts are added to those of this VM */
-	export(names: readonly string[]): EngineAnswerCounts[];
+	/** @param vmNames VMs whose counts are added to those of this VM */
+	export(vmNames: readonly string[]): EngineAnswerCounts[];
 	/**
 	 * Replaces the counts that a VM sent before.
 	 * @param isTotal whether the rows include this VM's own counts
 	 * @returns whether they differ from the previous ones
 	 */
-	merge(from: string, rows: readonly EngineAnswerCounts[], isTotal: boolean): boolean;
-	removePeer(from: string): void;
+	merge(peer: string, rows: readonly EngineAnswerCounts[], isTotal: boolean): boolean;
+	removePeer(peer: string): void;
 }
 
 export class FleetHealth implements AnswerGossip {
@@ -106,8 +106,8 @@
 		return available.length < engines.length * maxOpenShare ? engines : available;
 	}
 
-	export(names: readonly string[]): EngineAnswerCounts[] {
-		const peers = names.map((name) => this.peerAnswers.get(name));
+	export(vmNames: readonly string[]): EngineAnswerCounts[] {
+		const peers = vmNames.map((name) => this.peerAnswers.get(name));
 		const rows: EngineAnswerCounts[] = [];
 		for (const ref of this.suspects()) {
 			const row = emptyAnswerCounts(ref);
@@ -122,22 +122,22 @@
 		return rows.sort((a, b) => b.failed - a.failed).slice(0, maxExportedRows);
 	}
 
-	merge(from: string, rows: readonly EngineAnswerCounts[], isTotal: boolean): boolean {
-		const previous = this.peerAnswers.get(from)?.rows;
+	merge(peer: string, rows: readonly EngineAnswerCounts[], isTotal: boolean): boolean {
+		const previous = this.peerAnswers.get(peer)?.rows;
 		const isNew = rows.some((row) => !areCountsEqual(row, previous?.get(row.engine)));
 		if (rows.length === 0) {
-			this.peerAnswers.delete(from);
+			this.peerAnswers.delete(peer);
 			return false;
 		}
-		this.peerAnswers.set(from, { rows: new Map(rows.map((row) => [row.engine, row])), isTotal });
+		this.peerAnswers.set(peer, { rows: new Map(rows.map((row) => [row.engine, row])), isTotal });
 		for (const { engine } of rows) {
 			this.updateCircuit(engine);
 		}
 		return isNew;
 	}
 
-	removePeer(from: string): void {
-		this.peerAnswers.delete(from);
+	removePeer(peer: string): void {
+		this.peerAnswers.delete(peer);
 	}
 
 	/** Drops old counts and closes circuits after their trial; called each second. */
@@ -165,7 +165,7 @@
 		return refs;
 	}
 
-	/** Answer counts of the whole fleet. */
+	/** Answer counts over all VMs. */
 	private totalOf(ref: EngineRef): EngineAnswerCounts {
 		const sum = emptyAnswerCounts(ref);
 		const own = this.own.of(ref);
--- a/src/core/engines/long-prompt.ts
+++ b/src/core/engines/long-prompt.ts
@@ -5,22 +5,22 @@
 import type { CostEstimates } from './work-estimate.js';
 import { readingMs } from './work-estimate.js';
 
-/** Share of the tightest target pause of a service that reading a prompt may take. */
+/** Share of the shortest target pause of a service that reading a prompt may take. */
 const pauseShare = 0.75;
 /** At least this share of the target pause counts as free, however slow the engines are. */
 const minFreePauseShare = 0.25;
 
 /**
  * Milliseconds of reading that the streams of a service tolerate; infinite where no stream has a target pause.
- * @param tightestPauseMs shortest of the target pauses of the service's streams
+ * @param minTargetPauseMs shortest of the target pauses of the service's streams
  */
-export function maxReadingMs(tightestPauseMs: number | undefined, costs: CostEstimates): number {
-	if (tightestPauseMs === undefined) {
+export function maxReadingMs(minTargetPauseMs: number | undefined, costs: CostEstimates): number {
+	if (minTargetPauseMs === undefined) {
 		return Number.POSITIVE_INFINITY;
 	}
 	const freeMs = Math.max(
-		tightestPauseMs - costs.eventIntervalMs,
-		tightestPauseMs * minFreePauseShare,
+		minTargetPauseMs - costs.eventIntervalMs,
+		minTargetPauseMs * minFreePauseShare,
 	);
 	return freeMs * pauseShare;
 }
@@ -31,8 +31,8 @@
  */
 export function isLongPrompt(
 	promptTokens: number,
-	tightestPauseMs: number | undefined,
+	minTargetPauseMs: number | undefined,
 	costs: CostEstimates,
 ): boolean {
-	return readingMs(costs, promptTokens) > maxReadingMs(tightestPauseMs, costs);
+	return readingMs(costs, promptTokens) > maxReadingMs(minTargetPauseMs, costs);
 }
--- a/src/core/engines/placement-types.ts
+++ b/src/core/engines/placement-types.ts
@@ -37,7 +37,7 @@
 	/** Prompt tokens that the engine will have to read, and the estimated time for it in milliseconds. */
 	uncachedTokens: number;
 	readingMs: number;
-	/** Estimates behind the choice: time to the first event, and time to read a token, in milliseconds. */
+	/** Estimated time to the first event, and to read one token, in milliseconds. */
 	waitMs: number;
 	readMsPerToken: number;
 	/** Pace of the engine relative to its service's estimates; 1 is nominal. */
--- a/src/core/engines/placement.ts
+++ b/src/core/engines/placement.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses the engine for a request by estimated cost: queues, prefix caches and the pace of engines, as known to the fleet.
+ * Chooses the engine for a request by estimated cost: queues, prefix caches and the pace of engines.
  * @module
  */
 import type { Random } from '../definitions.js';
@@ -33,7 +33,7 @@
  * engine that has it cached only when it would wait longer there by this penalty.
  */
 const rereadWeight = 12;
-/** The same penalty for copying a prefix, a fifteenth of that for reading it. */
+/** The same penalty for copying a prefix. */
 const copyWeight = rereadWeight / 15;
 /** Fewer tokens are read rather than copied, as both take only a few milliseconds. */
 const minCopiedTokens = 100;
@@ -146,7 +146,7 @@
 		this.fleet.recordArrival(workMs(costs, size, engine.registration.slots), isLong);
 		return {
 			engine,
-			uncachedTokens: uncachedTokens,
+			uncachedTokens,
 			readingMs: readingMs(best.costs, uncachedTokens),
 			waitMs,
 			readMsPerToken: best.costs.readMsPerToken,
--- a/src/core/engines/undisturbed-pause-filter.ts
+++ b/src/core/engines/undisturbed-pause-filter.ts
@@ -11,11 +11,11 @@
 	private shortestMs = Number.POSITIVE_INFINITY;
 
 	/**
-	 * @param isBesidePrompts whether prompts are known to wait at the engine
+	 * @param hasWaitingPrompts whether prompts are known to wait at the engine
 	 * @returns the shortest pause of a completed run, in milliseconds; undefined in between
 	 */
-	add(ms: number, isBesidePrompts: boolean): number | undefined {
-		if (isBesidePrompts) {
+	add(ms: number, hasWaitingPrompts: boolean): number | undefined {
+		if (hasWaitingPrompts) {
 			this.clear();
 			return undefined;
 		}
--- a/src/core/engines/work-estimate.ts
+++ b/src/core/engines/work-estimate.ts
@@ -36,7 +36,7 @@
 
 /**
  * Prompt length in tokens at which attention, whose cost is quadratic, doubles the reading time. Depends on the model
- * architecture; the value suits models of about 70 billion parameters.
+ * architecture.
  */
 const doublingTokens = 85_000;
 
@@ -62,15 +62,15 @@
 }
 
 /**
- * Time for which a long prompt keeps a whole engine busy, in milliseconds: limited by reading, or by its slot on engines with few
- * slots. The cost of reading already includes interleaved steps.
+ * Engine time that a long prompt uses, in milliseconds: limited by reading, or by its slot on engines with few slots. The cost
+ * of reading already includes interleaved steps.
  */
 export function longPromptWorkMs(costs: CostEstimates, size: RequestSize, slots: number): number {
 	const reading = readingMs(costs, size.promptTokens);
 	return Math.max(reading, (reading + answeringMs(costs, size)) / slots);
 }
 
-/** Time for which a short prompt keeps a whole engine busy, in milliseconds: its reading, and its share of the steps. */
+/** Engine time that a short prompt uses, in milliseconds: its reading, and its share of the steps. */
 export function shortPromptWorkMs(costs: CostEstimates, size: RequestSize, slots: number): number {
 	return readingMs(costs, size.promptTokens) + answeringMs(costs, size) / slots;
 }
--- a/src/core/fleet/demand-meter.ts
+++ b/src/core/fleet/demand-meter.ts
@@ -1,5 +1,5 @@
 /**
- * Exponential moving average of the work that callers bring to this VM, as the number of engines it keeps busy.
+ * Exponential moving average of the work that arrives from callers at this VM, as the number of engines it keeps busy.
  * @module
  */
 import type { Demand } from './types.js';
--- a/src/core/fleet/fleet-view.ts
+++ b/src/core/fleet/fleet-view.ts
@@ -321,15 +321,15 @@
 	}
 
 	/**
-	 * Merges costs, speeds and answers of failing engines.
+	 * Merges costs, paces and answers of failing engines.
 	 * @returns whether the answers changed
 	 */
-	private mergeEstimates({ from, kind, costs, paces: speeds, answers }: GossipMessage): boolean {
+	private mergeEstimates({ from, kind, costs, paces, answers }: GossipMessage): boolean {
 		if (costs) {
 			this.opts.costs.merge(from, costs);
 		}
-		if (speeds) {
-			this.opts.costs.paces.merge(from, speeds, this.now);
+		if (paces) {
+			this.opts.costs.paces.merge(from, paces, this.now);
 		}
 		const isTotal = kind === gossipKinds.fleet;
 		return answers !== undefined && this.opts.answers.merge(from, answers, isTotal);
--- a/src/core/fleet/gossip-composer.ts
+++ b/src/core/fleet/gossip-composer.ts
@@ -21,10 +21,10 @@
 
 /** Minimum interval between messages of a kind that carry cost estimates, which change slowly. */
 const costsIntervalMs = 1000;
-/** The same for speeds of engines; short, since a slow engine has to be known fleet-wide after three hops. */
-const speedsIntervalMs = 250;
-/** Engine speeds in one message. */
-const maxSpeeds = 24;
+/** The same for paces of engines; short, since a slow engine has to be known fleet-wide after three hops. */
+const pacesIntervalMs = 250;
+/** Maximum number of engine paces in one message. */
+const maxPaces = 24;
 
 /** Content that differs between kinds of gossip. */
 export interface GossipContent {
@@ -36,7 +36,7 @@
 	demand: Demand;
 	vmCount: number;
 	storeReaders: StoreReader[];
-	/** VMs whose costs, speeds and engine answers are added to those of this VM. */
+	/** VMs whose costs, paces and engine answers are added to those of this VM. */
 	includedVms: readonly string[];
 	crashes: CrashReport[];
 	limits: LimitUpdate[];
@@ -63,7 +63,7 @@
 
 export class GossipComposer {
 	private readonly costsSentAt = new Map<GossipKind, number>();
-	private readonly speedsSentAt = new Map<GossipKind, number>();
+	private readonly pacesSentAt = new Map<GossipKind, number>();
 	private lastSeq = 0;
 
 	constructor(private readonly opts: GossipComposerOptions) {}
@@ -81,14 +81,14 @@
 		const costs = this.isDue(this.costsSentAt, kind, costsIntervalMs)
 			? this.opts.costs.export(includedVms)
 			: undefined;
-		const paces = this.isDue(this.speedsSentAt, kind, speedsIntervalMs)
-			? this.opts.costs.paces.export(includedVms, this.now, maxSpeeds)
+		const paces = this.isDue(this.pacesSentAt, kind, pacesIntervalMs)
+			? this.opts.costs.paces.export(includedVms, this.now, maxPaces)
 			: undefined;
 		const rowCounts = {
 			crashes: crashes.length,
 			limits: limits.length,
 			answers: answers.length,
-			paces: countSpeedRows(paces),
+			paces: countPaceRows(paces),
 		};
 		this.lastSeq++;
 		return splitIntoDatagrams(work, cacheUpdates, reportAcks, rowCounts).map((slice, index) => ({
@@ -123,6 +123,6 @@
 	}
 }
 
-function countSpeedRows(paces: readonly ServicePaceSums[] = []): number {
+function countPaceRows(paces: readonly ServicePaceSums[] = []): number {
 	return paces.reduce((rows, { engines }) => rows + engines.length, 0);
 }
--- a/src/core/fleet/gossip-splitter.ts
+++ b/src/core/fleet/gossip-splitter.ts
@@ -15,7 +15,7 @@
 const crashBytes = 16;
 const limitBytes = 16;
 const answerBytes = 12;
-const speedBytes = 18;
+const paceBytes = 18;
 /** Upper bound, exclusive, of all hashes. */
 export const refSpaceEnd = 2 ** 32;
 
@@ -66,9 +66,9 @@
 	return slices;
 }
 
-function bytesOf({ crashes, limits, answers, paces: speeds }: UnsplitRowCounts): number {
+function bytesOf({ crashes, limits, answers, paces }: UnsplitRowCounts): number {
 	const bytes = crashes * crashBytes + limits * limitBytes;
-	return bytes + answers * answerBytes + speeds * speedBytes;
+	return bytes + answers * answerBytes + paces * paceBytes;
 }
 
 export function isInRange(engine: number, { from, to }: EngineRange): boolean {
--- a/src/core/fleet/prefix-cache-map.ts
+++ b/src/core/fleet/prefix-cache-map.ts
@@ -7,8 +7,8 @@
 /** An engine is assumed to evict a segment this long after its last use. */
 const retentionMs = 15_000;
 /**
- * A segment can be copied from an engine once it is prefilled. Without word of that, such as after a lost message, it counts
- * as prefilled this long after its first use, which covers the wait in a busy fleet.
+ * A segment can be copied from an engine once it is prefilled. If no gossip confirms this, it counts as prefilled this long
+ * after its first use.
  */
 const assumedPrefillMs = 1000;
 /** The least recently used segments beyond this number are dropped, which costs a repeated prefill. */
--- a/src/core/fleet/reader-selection.ts
+++ b/src/core/fleet/reader-selection.ts
@@ -1,7 +1,7 @@
 /**
- * Selects the VMs that read the store in a large fleet; the others receive changes from them, which keeps the load on the
- * store low. All VMs compute the same ranking by hashing, and the first few read. While the store answers none of these,
- * further VMs try in turn. A VM that is isolated from its peers reads the store itself.
+ * Selects the VMs that read the store in a large fleet; the others receive changes from them. All VMs compute the same ranking
+ * by hashing, and the first few read; while the store answers none of these, further VMs try in turn. A VM that is isolated
+ * from its peers reads the store itself.
  * @module
  */
 import * as rendezvous from '../membership/rendezvous.js';
--- a/src/core/fleet/types.ts
+++ b/src/core/fleet/types.ts
@@ -1,5 +1,5 @@
 /**
- * Gossip messages in which VMs exchange the work they have at engines and what they know of the fleet.
+ * Gossip messages in which VMs exchange their work at engines and their state of the fleet.
  * @module
  */
 
@@ -9,7 +9,7 @@
 import type { IssuerAnnouncement, LimitUpdate } from '../limits/types.js';
 import type { CrashReport } from '../quarantine/types.js';
 
-/** 32-bit hash of an engine's id. */
+/** 32-bit hash that identifies an incarnation of an engine. */
 export type EngineRef = number;
 /** 32-bit hash of a VM's name. */
 export type VmRef = number;
@@ -109,7 +109,7 @@
 	costs?: CostSums[];
 	/** Recent answers of engines that fail requests; complete, in one datagram of a round. */
 	answers?: EngineAnswerCounts[];
-	/** Recent speeds of single engines; not in every message. */
+	/** Recent paces of single engines; not in every message. */
 	paces?: ServicePaceSums[];
 	/** VMs that recently had an answer from the store. */
 	storeReaders: StoreReader[];
--- a/src/core/fleet/vm-registry.ts
+++ b/src/core/fleet/vm-registry.ts
@@ -179,7 +179,8 @@
 	}
 
 	/**
-	 * Takes over the registration of a previous process if its lease still lives, which costs less than registering anew.
+	 * Takes over the registration of a previous process if its lease still lives, which takes fewer calls than a new
+	 * registration.
 	 * @returns the lease; undefined when there is none
 	 */
 	private async takeOver(): Promise<number | undefined> {
--- a/src/core/limits/fleet-limits.ts
+++ b/src/core/limits/fleet-limits.ts
@@ -12,7 +12,7 @@
 import { RetrySchedule } from './retry-schedule.js';
 import type { IssuerAnnouncement, LimitUpdate, PermitRequest, PermitResponse } from './types.js';
 
-/** Limits and issuer announcements as gossip between VMs carries them. */
+/** Exchange of limits and issuer announcements through gossip. */
 export interface LimitGossip {
 	/** @param kind of the gossip message that carries them */
 	getUpdatesToSend(kind: GossipKind): LimitUpdate[];
@@ -57,18 +57,18 @@
 			log,
 			random,
 			ownAddress,
-			getEngineId: engineId,
+			getEngineId,
 			getRank,
-			getVmCount: vms,
+			getVmCount,
 			sendPermitRequest,
-			onUpdate: onNews,
+			onUpdate,
 			onDueChanged,
 		} = opts;
 		this.ledger = new LimitLedger({
 			clock,
-			onChanged: onNews,
+			onChanged: onUpdate,
 			onLimitChanged: ({ engine, limitPerS, version }, before) => {
-				const fields = { engine: engineId(engine) ?? engine, limit_per_s: limitPerS, version };
+				const fields = { engine: getEngineId(engine) ?? engine, limit_per_s: limitPerS, version };
 				log.info('engine.limit', fields);
 				if (limitPerS === undefined || (before !== undefined && limitPerS > before)) {
 					this.permits.clearDenials(engine);
@@ -83,7 +83,7 @@
 			ownAddress,
 			getRank,
 			isNeeded: () => this.ledger.size > 0,
-			onChanged: onNews,
+			onChanged: onUpdate,
 		});
 		this.issuer = new PermitIssuer({
 			clock,
@@ -97,7 +97,7 @@
 			random,
 			ownAddress,
 			getLimit,
-			getVmCount: vms,
+			getVmCount,
 			isIssuer: () => this.election.isElected,
 			requestLocally: (request, respond) => this.issuer.handleRequest(request, respond),
 			getIssuerAddress: () => this.election.issuerAddress,
--- a/src/core/limits/issuer-election.ts
+++ b/src/core/limits/issuer-election.ts
@@ -1,7 +1,6 @@
 /**
- * Elects the VM that issues permits for rate-limited engines. One issuer keeps a fleet-wide rate exactly and gives it to any VM with
- * work, which a fixed split of the rate cannot. The issuer sends heartbeats through gossip; when they stop, VMs take over in rank
- * order, and the highest term wins.
+ * Elects the VM that issues permits for rate-limited engines, so that any VM may use the full rate. The issuer sends heartbeats
+ * through gossip; when they stop, VMs take over in rank order, and the highest term wins.
  * @module
  */
 import type { Clock, Log } from '../definitions.js';
@@ -16,9 +15,9 @@
 const heartbeatIntervalMs = 200;
 /** An issuer without heartbeats for this long is replaced, in milliseconds; tolerates the loss of some. */
 const issuerTimeoutMs = 1000;
-/** Extra wait per rank before a takeover, in milliseconds; leaves time to learn of that of a lower rank. */
+/** Extra wait per rank before a takeover, in milliseconds; leaves time for the claim of a VM with a lower rank to arrive. */
 const claimDelayPerRankMs = 250;
-/** Ranks beyond this one wait no longer. */
+/** Higher ranks wait no longer than this one. */
 const maxClaimRank = 8;
 /** Delay between a takeover and the first permit, in milliseconds; concurrent takeovers are detected by then. */
 const settleMs = 400;
@@ -38,7 +37,7 @@
 	onChanged: () => void;
 }
 
-/** All times in milliseconds since boot, which include suspensions: a suspended issuer must not carry on. */
+/** All times in milliseconds since boot, which include suspensions: a suspended issuer must stop issuing. */
 export class IssuerElection {
 	private announcement?: IssuerAnnouncement;
 	private receivedAt = Number.NEGATIVE_INFINITY;
@@ -140,7 +139,7 @@
 		return this.announcement?.address === this.opts.ownAddress;
 	}
 
-	/** When this VM takes over unless it learns of another issuer. */
+	/** When this VM takes over unless another issuer announces itself. */
 	private claimAt(neededSince: number): number {
 		const { announcement } = this;
 		const waitMs =
@@ -174,8 +173,9 @@
 }
 
 /**
- * Rank of a VM among the candidates for issuer, 0 for the first. VMs with more cores come first; all VMs with the same list agree.
- * @param without address of a VM that is left out
+ * Rank of a VM among the candidates for issuer, 0 for the first. VMs with more cores come first; all VMs with the same list
+ * agree.
+ * @param without address of a VM to exclude
  */
 export function issuerRank(
 	self: RegisteredVm,
--- a/src/core/limits/limit-ledger.ts
+++ b/src/core/limits/limit-ledger.ts
@@ -13,7 +13,7 @@
 /** Interval at which active limits are repeated, in milliseconds, for VMs that started or were partitioned. */
 const repeatIntervalMs = 500;
 /**
- * How long records outlive their last change or confirmation, in milliseconds, so that a partitioned VM cannot bring back an older
+ * How long records outlive their last change or confirmation, in milliseconds, so that a partitioned VM cannot restore an older
  * one.
  */
 const retentionMs = 600_000;
@@ -39,7 +39,7 @@
 	clock: Clock;
 	/** Called when a record changed that other VMs need. */
 	onChanged: () => void;
-	/** Called when a limit was named, changed or ended; `before` in requests per second. */
+	/** Called when a limit was announced, changed or ended; `before` in requests per second. */
 	onLimitChanged: (update: LimitUpdate, before: number | undefined) => void;
 }
 
@@ -66,7 +66,7 @@
 		return { engine, limitPerS, version };
 	}
 
-	/** Records a limit that an answer of the engine named. */
+	/** Records a limit that an answer of the engine announced. */
 	recordLimit(engine: EngineRef, limitPerS: number): void {
 		const record = this.records.get(engine);
 		if (record && record.limitPerS === limitPerS) {
@@ -77,8 +77,9 @@
 	}
 
 	/**
-	 * Ends the limit after an answer of the engine itself that named none.
-	 * @param sentAt when the request was sent, in monotonic milliseconds; requests from before the limit was named are ignored
+	 * Ends the limit after an answer of the engine itself that announced none.
+	 * @param sentAt when the request was sent, in monotonic milliseconds; requests from before the limit was announced are
+	 * ignored
 	 */
 	recordNoLimit(engine: EngineRef, sentAt: number): void {
 		const record = this.records.get(engine);
--- a/src/core/limits/permit-issuer.ts
+++ b/src/core/limits/permit-issuer.ts
@@ -1,5 +1,6 @@
 /**
- * Issues permits at the rates that engines name. The most urgent request goes first, and a single VM may use the whole rate.
+ * Issues permits at the rates that engines announce. The most urgent request goes first, and a single VM may use the whole
+ * rate.
  * @module
  */
 import type { Clock, Random } from '../definitions.js';
--- a/src/core/limits/permit-queue.ts
+++ b/src/core/limits/permit-queue.ts
@@ -92,9 +92,9 @@
 	}
 
 	/**
-	 * Removes the next request: the most urgent one, and among equals that of the VM whose last permit is oldest. Returns undefined while
-	 * permits are reserved for more urgent requests that were denied recently; these have short waits and would else lose to requests
-	 * with long ones.
+	 * Removes the next request: the most urgent one, and among equals that of the VM whose last permit is oldest. Returns
+	 * undefined while permits are reserved for more urgent requests that were denied recently; these have short waits and would
+	 * otherwise lose to requests with long ones.
 	 */
 	dequeue(now: number, intervalMs: number): QueuedPermitRequest | undefined {
 		const [first, ...others] = this.waiting as [QueuedPermitRequest, ...QueuedPermitRequest[]];
--- a/src/core/limits/retry-schedule.ts
+++ b/src/core/limits/retry-schedule.ts
@@ -23,15 +23,15 @@
 
 	/**
 	 * Reserves the next retry time for a refused caller.
-	 * @param openMs time until a permit of the first engine may be requested again, in milliseconds
+	 * @param retryDelayMs time until a permit of the first engine may be requested again, in milliseconds
 	 * @returns delay before the caller may retry, in seconds
 	 */
-	assignRetryAfterS(now: number, openMs: number): number {
+	assignRetryAfterS(now: number, retryDelayMs: number): number {
 		const count = this.admissions.filter((at) => now - at < admissionWindowMs).length;
 		const admissionsPerS = Math.max(minAdmissionsPerS, (count * 1000) / admissionWindowMs);
 		const latest = now + maxRetryAfterS * 1000;
 		const retryAt = Math.min(
-			Math.max(now + openMs, this.lastRetryAt + 1000 / admissionsPerS),
+			Math.max(now + retryDelayMs, this.lastRetryAt + 1000 / admissionsPerS),
 			latest,
 		);
 		this.lastRetryAt = retryAt;
--- a/src/core/limits/types.ts
+++ b/src/core/limits/types.ts
@@ -4,10 +4,10 @@
  */
 import type { EngineRef } from '../fleet/types.js';
 
-/** Versioned rate limit of one start of an engine. */
+/** Versioned rate limit of one incarnation of an engine. */
 export interface LimitUpdate {
 	engine: EngineRef;
-	/** Requests per second over all VMs; undefined when the engine no longer names a limit. */
+	/** Requests per second over all VMs; undefined when the engine no longer announces a limit. */
 	limitPerS?: number;
 	/** Increases with each change; the higher version wins. */
 	version: number;
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -84,8 +84,8 @@
 	}
 
 	/**
-	 * Share of the listed fleet that this member sees. Below one half it may be in the minority of a network partition and
-	 * must not claim whole endpoints.
+	 * Share of the listed fleet that this member sees. Below one half it may be in the minority of a network partition and may
+	 * use only a share of each endpoint.
 	 */
 	getVisibleShare(): number {
 		const known = Math.max(this.listedCount, 1);
--- a/src/core/quarantine/crash-ledger.ts
+++ b/src/core/quarantine/crash-ledger.ts
@@ -52,7 +52,7 @@
 	private readonly crashed = new Map<EngineRef, number>();
 	private unconfirmed: UnconfirmedFailure[] = [];
 	/** New reports, and until when each is included in gossip. */
-	private fresh: { report: CrashReport; until: number }[] = [];
+	private newReports: { report: CrashReport; until: number }[] = [];
 	private repeatedContents: ReadonlySet<ContentHash> = new Set();
 	private repeatedAt = Number.NEGATIVE_INFINITY;
 	/** Contents whose crashes this VM itself observed. */
@@ -140,14 +140,14 @@
 	}
 
 	getReportsToSend(): CrashReport[] {
-		if (this.fresh.length === 0 && this.repeatedContents.size === 0) {
+		if (this.newReports.length === 0 && this.repeatedContents.size === 0) {
 			return [];
 		}
 		const { now } = this;
-		this.fresh = this.fresh.filter(({ until }) => until > now);
-		const reports = this.fresh.slice(0, maxReportsPerMessage).map(({ report }) => report);
+		this.newReports = this.newReports.filter(({ until }) => until > now);
+		const reports = this.newReports.slice(0, maxReportsPerMessage).map(({ report }) => report);
 		// Rotates, so that the next message carries the others.
-		this.fresh.push(...this.fresh.splice(0, maxReportsPerMessage));
+		this.newReports.push(...this.newReports.splice(0, maxReportsPerMessage));
 		return [...reports, ...this.getRepeatedReports(maxReportsPerMessage - reports.length)];
 	}
 
@@ -248,6 +248,6 @@
 	}
 
 	private announce(report: CrashReport): void {
-		this.fresh.unshift({ report, until: this.now + gossipMs });
+		this.newReports.unshift({ report, until: this.now + gossipMs });
 	}
 }
--- a/src/core/quarantine/quarantine-records.ts
+++ b/src/core/quarantine/quarantine-records.ts
@@ -143,7 +143,7 @@
 	}
 
 	private async read(): Promise<void> {
-		// The first read may be stale and is cheaper so; gossip brings what is newer.
+		// A stale first read is cheaper; gossip delivers newer contents.
 		const mayBeStale = !this.shouldRead;
 		const range = await this.opts.store.range(this.opts.prefix, mayBeStale);
 		const contents = range.items.map(({ key }) => this.parseKey(key)).filter(Number.isFinite);
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -112,8 +112,8 @@
 		this.ledger.recordEngineCrash(engine);
 	}
 
-	private async probe({ ref, registration: entry }: Engine): Promise<void> {
-		const isClosed = await this.opts.isPortClosed(entry.address);
+	private async probe({ ref, registration }: Engine): Promise<void> {
+		const isClosed = await this.opts.isPortClosed(registration.address);
 		this.probed.delete(ref);
 		if (isClosed) {
 			this.ledger.recordEngineCrash(ref);
--- a/src/core/quarantine/request-quarantine.ts
+++ b/src/core/quarantine/request-quarantine.ts
@@ -30,10 +30,10 @@
 		return !this.mayHaveFailed || this.quarantine.isRetryAllowed(this.content);
 	}
 
-	/** Records a failed or silent attempt, except at engines that drain: these end as planned, whatever runs there. */
+	/** Records a failed or silent attempt, except at draining engines, which stop as planned. */
 	recordFailure(attempt: Attempt): void {
-		const { sinceFirstEventMs: runningMs, engine } = attempt;
-		const isShort = runningMs === undefined || runningMs < harmlessMs;
+		const { sinceFirstEventMs, engine } = attempt;
+		const isShort = sinceFirstEventMs === undefined || sinceFirstEventMs < harmlessMs;
 		if (isShort && !engine.isDraining) {
 			this.quarantine.recordFailure(this.content, attempt.engine);
 		}
--- a/src/core/quarantine/types.ts
+++ b/src/core/quarantine/types.ts
@@ -7,7 +7,7 @@
 
 /** Reports that an engine crashed, or that a request ran there when it did. */
 export interface CrashReport {
-	/** One start of an engine. */
+	/** Incarnation of the engine. */
 	engine: EngineRef;
 	/** Content of the request; undefined when only the crash is reported. */
 	content?: ContentHash;
@@ -15,7 +15,7 @@
 	isCleared: boolean;
 }
 
-/** The crash ledger as gossip between VMs uses it. */
+/** Exchange of crash reports through gossip. */
 export interface CrashGossip {
 	/** Reports for the next gossip message. */
 	getReportsToSend(): CrashReport[];
--- a/src/core/relay/answer-relay.ts
+++ b/src/core/relay/answer-relay.ts
@@ -1,5 +1,6 @@
 /**
- * Forwards an engine's answer to the caller: streams event by event, other answers whole, so that a broken one can be retried.
+ * Forwards an engine's answer to the caller: streams event by event; other answers are buffered, so that a broken one can be
+ * retried.
  * @module
  */
 import type { Attempt } from './attempt.js';
--- a/src/core/relay/apply-engine-notice.ts
+++ b/src/core/relay/apply-engine-notice.ts
@@ -1,6 +1,6 @@
 /**
- * Applies the engine notice in the head of an answer: draining, back-off or a request limit. It counts even when nobody waits for the
- * answer any more.
+ * Applies the engine notice in the head of an answer: draining, back-off or a request limit. It applies even if no caller waits
+ * for the answer any more.
  * @module
  */
 import type { Attempt } from './attempt.js';
@@ -23,12 +23,12 @@
 	const { notice, status } = head;
 	applyLimit(ctx, attempt, head, requestId);
 	if (engine.notices.apply(notice, ctx.clock.sinceBoot())) {
-		const { isDraining: leaving, backOffS: restS, limitPerS } = notice;
+		const { isDraining, backOffS, limitPerS } = notice;
 		outcome.log('engine.notice', {
 			engine: engine.id,
 			status,
-			leaving,
-			rest_s: restS,
+			leaving: isDraining,
+			rest_s: backOffS,
 			limit_per_s: limitPerS,
 		});
 	}
--- a/src/core/relay/attempt-results.ts
+++ b/src/core/relay/attempt-results.ts
@@ -12,7 +12,7 @@
 	constructor(
 		private readonly ctx: RelayContext,
 		private readonly outcome: RequestOutcome,
-		private readonly suspicion: RequestQuarantine,
+		private readonly requestQuarantine: RequestQuarantine,
 	) {}
 
 	/** The engine received the request and did not answer it properly. */
@@ -44,12 +44,12 @@
 
 	/** The engine may have crashed while it ran this request. */
 	recordBrokenAttempt(attempt: Attempt, reason: string): void {
-		this.suspicion.recordFailure(attempt);
+		this.requestQuarantine.recordFailure(attempt);
 		const { sinceSentMs, sinceFirstEventMs } = attempt;
 		this.outcome.log('request.broken', {
 			engine: attempt.engine.id,
 			reason,
-			content: formatContentHash(this.suspicion.content),
+			content: formatContentHash(this.requestQuarantine.content),
 			sent_ms: Math.round(sinceSentMs),
 			running_ms: sinceFirstEventMs === undefined ? undefined : Math.round(sinceFirstEventMs),
 		});
--- a/src/core/relay/attempt.ts
+++ b/src/core/relay/attempt.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt to run a request on one engine: tracks its answer and its share of the engine's work as shared with the fleet.
+ * One attempt to run a request on one engine: tracks its answer and the engine work that it contributes to the fleet view.
  * @module
  */
 
@@ -25,7 +25,7 @@
 	private firstEventAt?: number;
 	private lastEventAt = 0;
 	private events = 0;
-	private readonly calmPauses = new UndisturbedPauseFilter();
+	private readonly undisturbedPauses = new UndisturbedPauseFilter();
 	private isPromptRead = false;
 	/** Prompt segments that other requests may share. */
 	private sharedSegments: readonly PromptSegment[] = [];
@@ -62,18 +62,18 @@
 		return firstEventAt === undefined ? undefined : this.ctx.clock.monotonic() - firstEventAt;
 	}
 
-	/** Whether the request was sent and its engine has sent nothing at all for too long. */
+	/** Whether the request was sent and its engine is silent. */
 	isSilent(now: number): boolean {
 		return this.wasSent && this.engine.health.isSilent(now);
 	}
 
 	/** @param sharedSegments prompt segments that other requests may share */
 	markSent(sharedSegments: readonly PromptSegment[]): void {
-		const { uncachedTokens: promptTokens, readingMs } = this.placement;
+		const { uncachedTokens, readingMs } = this.placement;
 		this.wasSent = true;
 		this.sentTime = this.ctx.clock.monotonic();
 		this.engine.health.recordSent(this.sentTime, readingMs);
-		this.changeWork({ running: 1, promptTokens });
+		this.changeWork({ running: 1, promptTokens: uncachedTokens });
 		this.sharedSegments = sharedSegments;
 		this.ctx.fleet.recordPrefill(sharedSegments, this.engine.incarnationKey, false);
 		this.ctx.onWorkChanged();
@@ -84,7 +84,7 @@
 		this.countStarted(0);
 	}
 
-	/** Counts the request as started when it was sent: engines with free slots start at once, and nothing else shows the start. */
+	/** Counts the request as started when it was sent; without events, the actual start is unknown. */
 	countStartedAtSend(): void {
 		this.countStarted(this.ctx.clock.monotonic() - this.sentTime);
 	}
@@ -133,16 +133,16 @@
 	/** @param expectedTokens expected length of the answer */
 	recordStreamEnd(expectedTokens: number): void {
 		if (this.firstEventAt !== undefined) {
-			const heldMs = this.lastEventAt - this.firstEventAt;
+			const slotOccupancyMs = this.lastEventAt - this.firstEventAt;
 			this.ctx.costs.recordAnswer(this.service, {
 				events: this.events,
 				expectedTokens,
-				slotOccupancyMs: heldMs,
+				slotOccupancyMs,
 			});
 		}
 	}
 
-	/** Skips engines that are gone: their work was already removed, and removing it again would distort the announced sums. */
+	/** Skips removed engines, whose work is no longer part of the sums. */
 	private changeWork(change: WorkChange): void {
 		if (!this.engine.isRemoved) {
 			this.ctx.fleet.changeWork(this.engine.incarnationKey, change);
@@ -150,10 +150,10 @@
 	}
 
 	private recordFirstEvent(delayMs: number): void {
-		const { uncachedTokens: promptTokens, copiedTokens, work } = this.placement;
+		const { uncachedTokens, copiedTokens, work } = this.placement;
 		const { engine } = this;
 		this.ctx.costs.recordFirstEvent(this.service, {
-			promptTokens,
+			promptTokens: uncachedTokens,
 			aheadTokens: work.promptTokens,
 			copiedTokens,
 			delayMs,
@@ -170,7 +170,7 @@
 			ms,
 			engine: engine.ref,
 			at: now,
-			undisturbedMs: this.calmPauses.add(
+			undisturbedMs: this.undisturbedPauses.add(
 				ms,
 				ctx.fleet.getWork(engine.incarnationKey).promptTokens > 0,
 			),
--- a/src/core/relay/log-events.ts
+++ b/src/core/relay/log-events.ts
@@ -29,7 +29,7 @@
 			...request,
 			engine: 'id of the engine',
 			reason: 'the deciding factor, with the expected wait',
-			fleet_running: 'requests of the whole fleet at that engine, as known to this VM',
+			fleet_running: 'requests of all VMs at that engine, as known to this VM',
 			unread_tokens: 'prompt tokens that the engine has to process',
 			wait_ms: 'estimated time to the first event',
 			read_ms_per_token:
@@ -488,7 +488,7 @@
 	},
 	{
 		name: 'duty.taken',
-		when: 'This VM now holds the duty for the whole fleet: it reports usage and orders engines.',
+		when: 'This VM now holds the duty for the fleet: it reports usage and orders engines.',
 		fields: {
 			token: 'fencing token of its calls',
 			lease: 'id of the lease in the store',
@@ -580,14 +580,14 @@
 		when: 'An event was logged more often than its limit per second.',
 		fields: {
 			of: 'the event',
-			lines: 'lines left out',
+			lines: 'number of suppressed lines',
 		},
 	},
 	{
 		name: 'log.dropped',
 		when: 'The log was not read fast enough.',
 		fields: {
-			lines: 'lines dropped',
+			lines: 'number of dropped lines',
 		},
 	},
 ];
--- a/src/core/relay/relay.ts
+++ b/src/core/relay/relay.ts
@@ -22,7 +22,7 @@
 	startupQueue: StartupQueue;
 	/** The configuration in force; undefined before the first. */
 	getRouteTable: () => RouteTable | undefined;
-	/** Whether the configuration in force may be outdated; then it denies no request for good. */
+	/** Whether the configuration in force may be outdated; requests are then refused with a retry time instead of denied. */
 	isPossiblyStale: () => boolean;
 	/** How long the store has not answered this VM. */
 	storeUnreachableMs: () => number;
@@ -150,7 +150,7 @@
 		return true;
 	}
 
-	/** Expects an outage to last as long again as it has lasted, so that callers are not refused twice. */
+	/** Estimates the remainder of an outage by its duration so far. */
 	private notReadyRetryS(): number {
 		const unreachableS = this.opts.storeUnreachableMs() / 1000;
 		return Math.min(Math.max(unreachableS, minNotReadyRetryS), maxNotReadyRetryS);
--- a/src/core/relay/relayed-request.ts
+++ b/src/core/relay/relayed-request.ts
@@ -31,7 +31,7 @@
 	private unreachableCount = 0;
 	private readonly answer: CallerAnswer;
 	private readonly outcome: RequestOutcome;
-	private readonly suspicion: RequestQuarantine;
+	private readonly requestQuarantine: RequestQuarantine;
 	private readonly answerRelay: AnswerRelay;
 	private readonly results: AttemptResults;
 	private readonly timer: NodeJS.Timeout;
@@ -45,7 +45,7 @@
 		const { req, route } = routed;
 		const timeoutMs = Math.min(req.deadlineMs ?? route.timeoutMs, route.timeoutMs);
 		this.deadlineAt = req.arrivedAt + timeoutMs;
-		this.suspicion = new RequestQuarantine(ctx.quarantine, req, routed.customer?.name);
+		this.requestQuarantine = new RequestQuarantine(ctx.quarantine, req, routed.customer?.name);
 		this.timer = setTimeout(() => this.handleTimeout(), Math.max(1, this.leftMs));
 		this.answer = new CallerAnswer(res, ctx.clock, () => this.attempt?.call?.resume());
 		this.outcome = new RequestOutcome(ctx, routed, this.answer, (outcome) => {
@@ -54,7 +54,7 @@
 			onEnd(outcome, this);
 		});
 		this.answerRelay = new AnswerRelay(this.answer, req.lastEventId);
-		this.results = new AttemptResults(ctx, this.outcome, this.suspicion);
+		this.results = new AttemptResults(ctx, this.outcome, this.requestQuarantine);
 		this.requestPlacement = new RequestPlacement({
 			ctx,
 			routed,
@@ -225,7 +225,7 @@
 			this.handleBrokenAnswer(attempt, 'the stream ended inside an event');
 		} else {
 			this.results.recordSuccess(attempt);
-			this.suspicion.recordSuccess();
+			this.requestQuarantine.recordSuccess();
 			attempt.recordStreamEnd(this.routed.req.answerTokens);
 			this.endAttempt(attempt);
 			this.answerRelay.end(attempt, head);
@@ -336,7 +336,7 @@
 		return (
 			hasAttemptsLeft &&
 			this.ctx.retryBudget.getAvailable(service, now) >= 1 &&
-			this.suspicion.isRetryAllowed
+			this.requestQuarantine.isRetryAllowed
 		);
 	}
 
--- a/src/core/relay/request-outcome.ts
+++ b/src/core/relay/request-outcome.ts
@@ -60,7 +60,7 @@
 		this.finish(outcome, reason);
 	}
 
-	/** Answers with a text of the router. */
+	/** Answers with a text that the router generates. */
 	respond(
 		status: number,
 		text: string,
--- a/src/core/relay/request-placement.ts
+++ b/src/core/relay/request-placement.ts
@@ -73,10 +73,10 @@
 		}
 	}
 
-	/** Engines that fleet health admits; all offered ones if each of those was tried. */
-	private admittedEngines(offered: readonly Engine[]): readonly Engine[] {
-		const admitted = this.opts.ctx.fleetHealth.filterAvailable(offered);
-		return admitted.some(({ id }) => !this.tried.has(id)) ? admitted : offered;
+	/** Engines that fleet health admits; all eligible ones if each admitted one was tried. */
+	private admittedEngines(eligible: readonly Engine[]): readonly Engine[] {
+		const admitted = this.opts.ctx.fleetHealth.filterAvailable(eligible);
+		return admitted.some(({ id }) => !this.tried.has(id)) ? admitted : eligible;
 	}
 
 	/** Stops placement once the request has ended. */
@@ -129,11 +129,11 @@
 		if (!this.isLimited(engine)) {
 			return true;
 		}
-		const closedMs = this.opts.ctx.limits.permits.getRetryDelayMs(
+		const retryDelayMs = this.opts.ctx.limits.permits.getRetryDelayMs(
 			engine.ref,
 			this.opts.routed.urgency,
 		);
-		return this.permitRequests < maxPermitRequests && closedMs <= this.waitMs(engines);
+		return this.permitRequests < maxPermitRequests && retryDelayMs <= this.waitMs(engines);
 	}
 
 	/** How long the request can wait for a permit; 0 where some engine needs none. */
@@ -152,7 +152,8 @@
 		const waitMs = this.waitMs(engines);
 		this.permitRequests++;
 		this.waitingSince ??= this.now;
-		// A synchronous denial requests the next permit before `ask` returns, and its call is overwritten here: `isCancelled` covers it.
+		// A synchronous denial requests the next permit before `request` returns, and its call is overwritten here: `isCancelled`
+		// covers it.
 		this.permitCall = ctx.limits.permits.request(engine.ref, routed.urgency, waitMs, (result) => {
 			if (this.isCancelled) {
 				return;
@@ -183,9 +184,9 @@
 			return this.backOffLeftS;
 		}
 		const { permits } = ctx.limits;
-		const openMs = engines.map(({ ref }) => permits.getRetryDelayMs(ref, routed.urgency));
+		const retryDelaysMs = engines.map(({ ref }) => permits.getRetryDelayMs(ref, routed.urgency));
 		return ctx.limits
 			.getRetrySchedule(routed.service)
-			.assignRetryAfterS(this.now, Math.min(...openMs));
+			.assignRetryAfterS(this.now, Math.min(...retryDelaysMs));
 	}
 }
--- a/src/core/scheduling/adaptive-limit.ts
+++ b/src/core/scheduling/adaptive-limit.ts
@@ -1,6 +1,6 @@
 /**
- * Adaptive concurrency limit of one endpoint with a circuit breaker. Uses observed inter-token
- * latency and failures; load reports lag too far behind.
+ * Adaptive concurrency limit of one endpoint with a circuit breaker. Uses observed inter-token latency and failures; load
+ * reports arrive too late.
  * @module
  */
 
--- a/src/core/scheduling/ledger-queries.ts
+++ b/src/core/scheduling/ledger-queries.ts
@@ -25,7 +25,7 @@
 	return longest;
 }
 
-/** The request of the highest tier that asks for preemption. */
+/** The request of the highest tier that requests preemption. */
 export function findPreemptionRequest(
 	waiting: readonly WaitingRequest[],
 ): WaitingRequest | undefined {
--- a/src/core/scheduling/slot-ledger.ts
+++ b/src/core/scheduling/slot-ledger.ts
@@ -86,7 +86,7 @@
 	setUnavailable(isUnavailable: boolean): void {
 		if (isUnavailable !== this.isUnavailable) {
 			this.isUnavailable = isUnavailable;
-			const reason = isUnavailable ? 'takes no work' : 'takes work again';
+			const reason = isUnavailable ? 'accepts no work' : 'accepts work again';
 			this.record(eventKinds.endpointLeaving, { reason });
 			this.scheduleAllReplies();
 		}
@@ -224,7 +224,7 @@
 		return [...this.holders.values()].some((holder) => holder.servesFloor(cls));
 	}
 
-	/** Preempts the lowest run if a request of a higher tier asks for preemption. */
+	/** Preempts the lowest run if a request of a higher tier requests it. */
 	private preemptForRequest(waiting: readonly WaitingRequest[], now: number): void {
 		const preemptor = queries.findPreemptionRequest(waiting);
 		if (!preemptor || now - this.lastPreemptAt < minPreemptionIntervalMs) {
--- a/src/core/scheduling/types.ts
+++ b/src/core/scheduling/types.ts
@@ -10,7 +10,7 @@
  */
 export type NameHash = number;
 
-/** A waiting request that asks an endpoint's owner for a slot. */
+/** A waiting request, sent to an endpoint's owner to get a slot. */
 export interface SlotRequest {
 	/** Identifies the request on its daemon. */
 	ticket: number;
@@ -23,7 +23,7 @@
 	isLate: boolean;
 	/** Time that the request has waited. */
 	waitedMs: number;
-	/** Asks the owner to preempt a run of a lower tier. */
+	/** The owner should preempt a run of a lower tier. */
 	requestsPreemption: boolean;
 }
 
--- a/src/core/settings/toml-document.ts
+++ b/src/core/settings/toml-document.ts
@@ -17,7 +17,7 @@
 	| { value: T; findings: [] }
 	| { value?: undefined; findings: errors.Finding[] };
 
-/** Checks on the whole document that run once it matches the schema. */
+/** Checks across the document that run once it matches the schema. */
 export type CrossCheck<T> = (
 	value: T,
 ) => { path: (string | number)[]; message: string; hint?: string }[];
--- a/src/daemon/daemon-control.ts
+++ b/src/daemon/daemon-control.ts
@@ -49,15 +49,15 @@
 		const { fleet, configuration, settings } = this.daemon;
 		const endpoints = configuration?.document.endpoints ?? [];
 		return endpoints.map((endpoint) => {
-			const holding = fleet?.policy.getHeldSlots(endpoint.name);
+			const heldSlots = fleet?.policy.getHeldSlots(endpoint.name);
 			return {
 				endpoint: endpoint.name,
 				vm: settings.vm.id,
 				owner: fleet?.ownedLedgers.ownerOf(endpoint.name) ?? '',
-				state: holding?.lastReply?.isUnavailable ? 'closed' : endpoint.state,
-				limit: holding?.lastReply?.limit ?? 0,
-				running: holding?.runningCount ?? 0,
-				idle: holding?.idleSlots ?? 0,
+				state: heldSlots?.lastReply?.isUnavailable ? 'closed' : endpoint.state,
+				limit: heldSlots?.lastReply?.limit ?? 0,
+				running: heldSlots?.runningCount ?? 0,
+				idle: heldSlots?.idleSlots ?? 0,
 			};
 		});
 	}
--- a/src/daemon/fleet-node.ts
+++ b/src/daemon/fleet-node.ts
@@ -19,7 +19,7 @@
 const minReportIntervalMs = 10;
 const minDecisionIntervalMs = 10;
 const vmListIntervalMs = 5000;
-/** Additional reads after the start, so that a fleet that starts together finds itself quickly. */
+/** Additional reads after the start, so that VMs that start together find each other quickly. */
 const initialVmListReadsMs = [300, 700, 1200, 2000, 3500];
 /** A longer time between two ticks means that the process was paused. */
 const pauseThresholdMs = 1000;
--- a/src/daemon/peer-configuration-fetcher.ts
+++ b/src/daemon/peer-configuration-fetcher.ts
@@ -7,7 +7,7 @@
 import type { Member } from '../core/membership/types.js';
 import { createControlClient } from '../infra/control/control-client.js';
 
-/** Random delay before a fetch, so that not all daemons ask one peer at once. */
+/** Random delay before a fetch, so that not all daemons fetch from one peer at once. */
 const maxJitterMs = 100;
 
 export interface PeerConfigurationFetcherOptions {
--- a/src/daemon/relay/fleet-coordinator.ts
+++ b/src/daemon/relay/fleet-coordinator.ts
@@ -154,7 +154,7 @@
 		this.registry.stop();
 	}
 
-	/** Peers to contact before any VM is known. Seeds name another port of a VM; all VMs use the same ports. */
+	/** Peers to contact before any VM is known. Seeds contain another port of a VM; all VMs use the same ports. */
 	private seeds(): HostPort[] {
 		const { seeds, listen } = this.opts.settings();
 		const hosts = new Set(seeds.map((seed) => seed.host));
--- a/src/daemon/relay/fleet-duties.ts
+++ b/src/daemon/relay/fleet-duties.ts
@@ -1,6 +1,6 @@
 /**
- * Duties for the whole fleet: every VM counts the requests that start to run and sends the counts to the duty holder, which
- * reports them to the platform and orders engines.
+ * Fleet-wide duties: every VM counts the requests that start to run and sends the counts to the duty holder, which reports them
+ * to the platform and orders engines.
  * @module
  */
 import type { Clock, Log, Random } from '../../core/definitions.js';
--- a/src/daemon/relay/relay-daemon.ts
+++ b/src/daemon/relay/relay-daemon.ts
@@ -64,7 +64,7 @@
 	private readonly dutyApi?: platform.PlatformDutyApi;
 	private readonly quarantine: Quarantine;
 	private readonly quarantineRecords: QuarantineRecords;
-	private readonly front: RelayHttpServer;
+	private readonly httpServer: RelayHttpServer;
 	private readonly readiness: http.Server;
 	private readonly metrics: PrometheusMetrics;
 	private readonly metricsServer: http.Server;
@@ -123,7 +123,7 @@
 			duties: () => this.duties,
 			sleep,
 		});
-		const { fleet, registry, peers, limits, fleetHealth: health } = this.coordinator;
+		const { fleet, registry, peers, limits, fleetHealth } = this.coordinator;
 		this.quarantineRecords = new QuarantineRecords({
 			store: this.store,
 			clock,
@@ -140,7 +140,7 @@
 			decode: platform.decodeConfiguration,
 			onApplied: (table) => {
 				fleet.configurationVersion = table.version;
-				this.front.configure(table.configuration.limits);
+				this.httpServer.configure(table.configuration.limits);
 				this.storeSync.handleConfigurationApplied();
 				this.startupQueue.release();
 			},
@@ -238,7 +238,7 @@
 			placement: new EnginePlacement(random, fleet, this.costs, (address) =>
 				transport.hasIdleConnection(address),
 			),
-			fleetHealth: health,
+			fleetHealth,
 			fleet,
 			limits,
 			usage: this.duties,
@@ -251,7 +251,7 @@
 			getRefusal: (route) => this.shutdown.getRefusal(route),
 			metrics: this.metrics,
 		});
-		this.front = new RelayHttpServer({
+		this.httpServer = new RelayHttpServer({
 			clock,
 			log,
 			decode: platform.decodeRequest,
@@ -279,7 +279,7 @@
 		this.supervise(this.quarantineRecords.update());
 		await listenOn(this.metricsServer, metrics.host, metrics.port);
 		await listenOn(this.coordinator.peers.server, peers.host, peers.port);
-		await listenOn(this.front.server, callers.host, callers.port);
+		await listenOn(this.httpServer.server, callers.host, callers.port);
 		await listenOn(this.readiness, readiness.host, readiness.port);
 		this.supervise(this.coordinator.registry.run());
 		this.loopMonitor.start();
@@ -300,16 +300,16 @@
 		}
 		this.shutdown.begin();
 		this.log.info('daemon.stopping', { requests: this.relay.openRequests });
-		this.front.disableKeepAlive();
+		this.httpServer.disableKeepAlive();
 		this.coordinator.retire();
 		await this.duties?.release();
 		await sleep(streamAcceptanceMs);
-		while (this.front.openRequests > 0 && !this.shutdown.isDeadlineReached) {
-			this.front.closeIdleConnections();
+		while (this.httpServer.openRequests > 0 && !this.shutdown.isDeadlineReached) {
+			this.httpServer.closeIdleConnections();
 			await sleep(shutdownPollMs);
 		}
 		this.relay.abortAll('the daemon stops');
-		this.front.server.close();
+		this.httpServer.server.close();
 		await this.close();
 		this.log.info('daemon.stopped', { took_ms: Math.round(this.shutdown.elapsedMs) });
 	}
--- a/src/daemon/relay/store-restoration.ts
+++ b/src/daemon/relay/store-restoration.ts
@@ -39,7 +39,7 @@
 		}
 	}
 
-	/** Writes this VM's entries to the store again and reads the rest anew; newer state of this VM is kept. */
+	/** Writes this VM's entries to the store again and reads the rest again; newer state of this VM is kept. */
 	handleRestored(era: number): void {
 		if (era <= this.handledEra) {
 			return;
--- a/src/infra/callers/callers-server.ts
+++ b/src/infra/callers/callers-server.ts
@@ -112,7 +112,7 @@
 		res: http.ServerResponse,
 		isChat: boolean,
 	): Promise<void> {
-		const terms = callerRequest.readRequestOptions(cfg, req.headers);
+		const options = callerRequest.readRequestOptions(cfg, req.headers);
 		const raw = await requestBody.readBody(req, this.opts.limits.body_bytes);
 		const parsed = requestBody.parseModelBody(raw, isChat);
 		const target: RoutingTarget = `model:${parsed.model}`;
@@ -123,7 +123,7 @@
 			body: parsed.engineBody,
 			streamed: true,
 		};
-		const request = this.makeRequest(cfg, terms, target, raw.length);
+		const request = this.makeRequest(cfg, options, target, raw.length);
 		const sink = parsed.stream
 			? new StreamSink(res, request.id)
 			: new JsonSink(res, request.id, isChat, this.opts.limits.answer_bytes);
@@ -136,7 +136,7 @@
 		req: http.IncomingMessage,
 		res: http.ServerResponse,
 	): Promise<void> {
-		const terms = callerRequest.readRequestOptions(cfg, req.headers);
+		const options = callerRequest.readRequestOptions(cfg, req.headers);
 		const raw = await requestBody.readBody(req, this.opts.limits.body_bytes);
 		const path = (req.url ?? '').slice(`/services/${name}`.length) || '/';
 		const contentType = req.headers['content-type'];
@@ -147,33 +147,34 @@
 			body: raw.length > 0 ? raw : undefined,
 			streamed: false,
 		};
-		const request = this.makeRequest(cfg, terms, `service:${name}`, raw.length);
+		const request = this.makeRequest(cfg, options, `service:${name}`, raw.length);
 		this.submit(request, template, new ServiceSink(res, request.id), res);
 	}
 
 	private makeRequest(
 		cfg: ConfigurationView,
-		terms: callerRequest.CallerRequestOptions,
+		options: callerRequest.CallerRequestOptions,
 		target: RoutingTarget,
 		bytes: number,
 	): Request {
-		if (cfg.findEligibleEndpoints(target, terms.cls.name).length === 0) {
-			throw new errors.UserError(errors.data.NotFound, [`${target} for class ${terms.cls.name}`]);
+		if (cfg.findEligibleEndpoints(target, options.cls.name).length === 0) {
+			throw new errors.UserError(errors.data.NotFound, [`${target} for class ${options.cls.name}`]);
 		}
 		const now = this.opts.clock.monotonic();
 		return {
 			id: this.opts.random.hex(12),
 			ticket: this.nextTicket++,
-			cls: terms.cls,
-			customer: terms.customer.name,
-			weight: terms.customer.weight,
+			cls: options.cls,
+			customer: options.customer.name,
+			weight: options.customer.weight,
 			target,
-			repeatable: callerRequest.isRepeatable(cfg, terms.cls, target, terms.repeatable),
-			idempotencyKey: terms.idempotencyKey,
+			repeatable: callerRequest.isRepeatable(cfg, options.cls, target, options.repeatable),
+			idempotencyKey: options.idempotencyKey,
 			arrivedAt: now,
-			firstTokenBy: now + Math.min(terms.cls.first_token_ms, terms.deadlineMs),
-			deadlineAt: now + terms.deadlineMs,
-			queueTimeoutAt: now + Math.min(terms.cls.patience_ms ?? terms.deadlineMs, terms.deadlineMs),
+			firstTokenBy: now + Math.min(options.cls.first_token_ms, options.deadlineMs),
+			deadlineAt: now + options.deadlineMs,
+			queueTimeoutAt:
+				now + Math.min(options.cls.patience_ms ?? options.deadlineMs, options.deadlineMs),
 			heldBytes: bytes + requestOverheadBytes,
 			waitingSince: now,
 			offset: 0,
--- a/src/infra/callers/request-body.ts
+++ b/src/infra/callers/request-body.ts
@@ -18,7 +18,7 @@
 /** A validated model request body. */
 export interface ModelBody {
 	model: string;
-	/** Whether the caller asked for a stream. */
+	/** Whether the caller requested a stream. */
 	stream: boolean;
 	/** Body for the engine; always requests a stream, because only streams can be resumed. */
 	engineBody: Uint8Array;
--- a/src/infra/callers/sinks.ts
+++ b/src/infra/callers/sinks.ts
@@ -114,7 +114,7 @@
 	return `${id}data: ${event.data.replaceAll('\n', '\ndata: ')}\n\n`;
 }
 
-/** Assembles the engine's stream into one JSON body for a caller that did not ask for a stream. */
+/** Assembles the engine's stream into one JSON body for a caller that did not request a stream. */
 export class JsonSink extends ResponseSink {
 	private readonly assembler: AnswerAssembler;
 	private isForwarding = false;
--- a/src/infra/peers/codec.ts
+++ b/src/infra/peers/codec.ts
@@ -21,9 +21,9 @@
 /** Member states; the index is the code on the wire. */
 const memberStates = ['alive', 'suspect', 'dead'] as const;
 /** Times between tokens are encoded in hundredths of a millisecond. */
-const gapUnitsPerMs = 100;
-/** Wire value for an unbounded `keepIdle`. */
-const unboundedKeepIdle = -1;
+const interTokenUnitsPerMs = 100;
+/** Wire value for an unbounded `maxIdleSlots`. */
+const unboundedIdleSlots = -1;
 
 type WireArray = unknown[];
 
@@ -137,12 +137,7 @@
 }
 
 function encodeReport(report: HolderReport): WireArray {
-	const {
-		completions,
-		failures,
-		interTokenMs: gapMs,
-		interTokenTargetMs: targetMs,
-	} = report.observations;
+	const { completions, failures, interTokenMs, interTokenTargetMs } = report.observations;
 	return [
 		messageTypeCodes.report,
 		report.endpoint,
@@ -151,15 +146,27 @@
 		report.lastGrantId,
 		report.running.map(encodeRunning),
 		report.idleSlots,
-		report.slotRequests.map(encodeTicket),
+		report.slotRequests.map(encodeSlotRequest),
 		report.waitingByTier,
-		[completions, failures, Math.round(gapMs * gapUnitsPerMs), targetMs],
+		[completions, failures, Math.round(interTokenMs * interTokenUnitsPerMs), interTokenTargetMs],
 		report.knownLimit,
 	];
 }
 
 function decodeReport(wire: WireArray): HolderReport {
-	const [, endpoint, seq, epoch, granted, running, idle, want, backlog, observed, limit] = wire as [
+	const [
+		,
+		endpoint,
+		seq,
+		epoch,
+		lastGrantId,
+		running,
+		idleSlots,
+		slotRequests,
+		waitingByTier,
+		observed,
+		knownLimit,
+	] = wire as [
 		number,
 		string,
 		number,
@@ -172,23 +179,23 @@
 		[number, number, number, number],
 		number,
 	];
-	const [completions, failures, gap, targetMs] = observed;
+	const [completions, failures, interTokenUnits, interTokenTargetMs] = observed;
 	return {
 		endpoint,
 		seq,
 		epoch,
-		lastGrantId: granted,
+		lastGrantId,
 		running: running.map(decodeRunning),
-		idleSlots: idle,
-		slotRequests: want.map(decodeTicket),
-		waitingByTier: backlog,
+		idleSlots,
+		slotRequests: slotRequests.map(decodeSlotRequest),
+		waitingByTier,
 		observations: {
 			completions,
 			failures,
-			interTokenMs: gap / gapUnitsPerMs,
-			interTokenTargetMs: targetMs,
+			interTokenMs: interTokenUnits / interTokenUnitsPerMs,
+			interTokenTargetMs,
 		},
-		knownLimit: limit,
+		knownLimit,
 	};
 }
 
@@ -198,25 +205,31 @@
 }
 
 function decodeRunning(wire: WireArray): RunningSlot {
-	const [ticket, tier, cls, customer, flags] = wire as [number, number, number, number, number];
+	const [ticket, tier, classHash, customerHash, flags] = wire as [
+		number,
+		number,
+		number,
+		number,
+		number,
+	];
 	return {
 		ticket,
 		tier,
-		classHash: cls,
-		customerHash: customer,
+		classHash,
+		customerHash,
 		isFloor: (flags & 1) !== 0,
 		isPreemptable: (flags & 2) !== 0,
 	};
 }
 
-function encodeTicket(ticket: SlotRequest): WireArray {
-	const flags = (ticket.isLate ? 1 : 0) | (ticket.requestsPreemption ? 2 : 0);
-	const { tier, classHash: cls, customerHash: customer, slackMs: slack, waitedMs: waited } = ticket;
-	return [ticket.ticket, tier, cls, customer, slack, waited, flags];
+function encodeSlotRequest(request: SlotRequest): WireArray {
+	const flags = (request.isLate ? 1 : 0) | (request.requestsPreemption ? 2 : 0);
+	const { tier, classHash, customerHash, slackMs, waitedMs } = request;
+	return [request.ticket, tier, classHash, customerHash, slackMs, waitedMs, flags];
 }
 
-function decodeTicket(wire: WireArray): SlotRequest {
-	const [ticket, tier, cls, customer, slack, waited, flags] = wire as [
+function decodeSlotRequest(wire: WireArray): SlotRequest {
+	const [ticket, tier, classHash, customerHash, slackMs, waitedMs, flags] = wire as [
 		number,
 		number,
 		number,
@@ -225,17 +238,17 @@
 		number,
 		number,
 	];
-	const late = (flags & 1) !== 0;
-	const urgent = (flags & 2) !== 0;
+	const isLate = (flags & 1) !== 0;
+	const requestsPreemption = (flags & 2) !== 0;
 	return {
 		ticket,
 		tier,
-		classHash: cls,
-		customerHash: customer,
-		slackMs: slack,
-		waitedMs: waited,
-		isLate: late,
-		requestsPreemption: urgent,
+		classHash,
+		customerHash,
+		slackMs,
+		waitedMs,
+		isLate,
+		requestsPreemption,
 	};
 }
 
@@ -247,7 +260,7 @@
 		reply.epoch,
 		reply.reportSeq,
 		reply.grants.map(encodeGrant),
-		reply.maxIdleSlots === Number.MAX_SAFE_INTEGER ? unboundedKeepIdle : reply.maxIdleSlots,
+		reply.maxIdleSlots === Number.MAX_SAFE_INTEGER ? unboundedIdleSlots : reply.maxIdleSlots,
 		reply.preemptTickets,
 		reply.limit,
 		reply.usedSlots,
@@ -259,34 +272,47 @@
 }
 
 function decodeReply(wire: WireArray): OwnerReply {
-	const [, endpoint, epoch, seq, grants, keep, preempt, limit, used, rate, ahead, lowest, flags] =
-		wire as [
-			number,
-			string,
-			number,
-			number,
-			WireArray[],
-			number,
-			number[],
-			number,
-			number,
-			number,
-			[number, number][],
-			number,
-			number,
-		];
+	const [
+		,
+		endpoint,
+		epoch,
+		reportSeq,
+		grants,
+		maxIdleSlots,
+		preemptTickets,
+		limit,
+		usedSlots,
+		rate,
+		waitingByTier,
+		lowestPreemptableTier,
+		flags,
+	] = wire as [
+		number,
+		string,
+		number,
+		number,
+		WireArray[],
+		number,
+		number[],
+		number,
+		number,
+		number,
+		[number, number][],
+		number,
+		number,
+	];
 	return {
 		endpoint,
 		epoch,
-		reportSeq: seq,
+		reportSeq,
 		grants: grants.map(decodeGrant),
-		maxIdleSlots: keep === unboundedKeepIdle ? Number.MAX_SAFE_INTEGER : keep,
-		preemptTickets: preempt,
+		maxIdleSlots: maxIdleSlots === unboundedIdleSlots ? Number.MAX_SAFE_INTEGER : maxIdleSlots,
+		preemptTickets,
 		limit,
-		usedSlots: used,
+		usedSlots,
 		completionsPerS: rate / 100,
-		waitingByTier: ahead,
-		lowestPreemptableTier: lowest,
+		waitingByTier,
+		lowestPreemptableTier,
 		isContended: (flags & 1) !== 0,
 		isUnavailable: (flags & 2) !== 0,
 	};
--- a/src/infra/relay/engine-connection-pool.ts
+++ b/src/infra/relay/engine-connection-pool.ts
@@ -6,9 +6,9 @@
 import * as undici from 'undici';
 
 export const connectTimeoutMs = 400;
-/** Idle connections are closed after this time unless the engine's keep-alive header names another. */
+/** Idle connections are closed after this time unless the engine's keep-alive header sets another. */
 const defaultIdleTimeoutMs = 4000;
-/** Upper bound for the keep-alive time that an engine names. */
+/** Upper bound for the keep-alive time that an engine sets. */
 const maxIdleTimeoutMs = 60_000;
 /** Idle connections are closed this long before the engine would close them. */
 const idleTimeoutMarginMs = 500;
--- a/src/infra/relay/gossip-codec.ts
+++ b/src/infra/relay/gossip-codec.ts
@@ -30,7 +30,7 @@
 /** Weights and means of paces are rounded to these units; integers take fewer bytes. */
 const weightUnit = 0.1;
 const meanUnit = 0.01;
-/** Stands for the content in reports of an engine that ended without a known content. */
+/** Encodes the absence of a content in crash reports. */
 const noContent = -1;
 
 const kindsByType: Readonly<Record<number, GossipKind>> = {
--- a/src/infra/relay/limit-codec.ts
+++ b/src/infra/relay/limit-codec.ts
@@ -13,9 +13,9 @@
 
 const maxPort = 65_535;
 const urgencies = Array.from({ length: urgencyLevels }, (_, level) => level);
-/** Upper bound for the wait that a permit request may name. */
+/** Upper bound for the wait of a permit request. */
 const maxWaitMs = 60_000;
-/** Stands for the rate of an engine that names no limit. */
+/** Encodes the absence of a limit. */
 const noLimit = -1;
 
 export function packLimit({ engine, limitPerS, version }: LimitUpdate): number[] {
--- a/src/infra/relay/message-types.ts
+++ b/src/infra/relay/message-types.ts
@@ -15,7 +15,7 @@
 	/** Usage counts for the holder of the reporting duty. */
 	usage: 3,
 	usageAck: 4,
-	/** Permission to send a request to an engine that names a rate limit. */
+	/** Permission to send a request to a rate-limited engine. */
 	permitRequest: 5,
 	permitResponse: 6,
 } as const;
--- a/src/infra/relay/prometheus-metrics.ts
+++ b/src/infra/relay/prometheus-metrics.ts
@@ -23,7 +23,7 @@
 	logLinesDropped: () => number;
 	duties: () => DutyStats;
 	costEstimates: () => readonly CostSample[];
-	/** Number of engines that name a rate limit. */
+	/** Number of engines with a rate limit. */
 	limitedEngines: () => number;
 	/** Number of request contents quarantined after engine crashes. */
 	quarantinedContents: () => number;
@@ -74,7 +74,7 @@
 	);
 	private readonly permitsDeniedTotal = this.counter(
 		'slategauge_permits_denied_total',
-		'Permits denied for engines that name a rate limit, by service',
+		'Permits denied for engines with a rate limit, by service',
 		['service'],
 	);
 	private readonly storeRestoredTotal = this.counter(
@@ -101,7 +101,7 @@
 		);
 		this.gauge(
 			'slategauge_limited_engines',
-			'Engines that name a limit of requests per second',
+			'Engines with a limit of requests per second',
 			gauges.limitedEngines,
 		);
 		this.gauge('slategauge_store_calls', 'Calls to the store since the start', gauges.storeCalls);
--- a/src/infra/relay/relay-http-server.ts
+++ b/src/infra/relay/relay-http-server.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP server for callers of the relay: reads whole requests and streams answers.
+ * HTTP server for callers of the relay: buffers requests and streams answers.
  * @module
  */
 import * as http from 'node:http';
@@ -37,7 +37,7 @@
 	clock: Clock;
 	log: Log;
 	decode: RequestDecoder;
-	/** Whether the event loop lags so far behind that callers may have disconnected unnoticed. */
+	/** Whether the event loop lags so much that callers may have disconnected unnoticed. */
 	isEventLoopLagging: () => boolean;
 	handle: (req: CallerRequest, res: CallerResponse) => void;
 }
@@ -260,14 +260,7 @@
 	if (shouldRetry) {
 		headers['retry-after'] = '0.2';
 	}
-	sendWithLingeringClose(
-		req,
-		res,
-		status,
-		headers,
-		`${reason}
-`,
-	);
+	sendWithLingeringClose(req, res, status, headers, `${reason}\n`);
 }
 
 /** Answers bytes that are not a valid HTTP request and closes the connection. */
--- a/src/platform/store-client.ts
+++ b/src/platform/store-client.ts
@@ -21,7 +21,7 @@
 
 /** Timeout of calls other than watches. */
 const callTimeoutMs = 1000;
-/** Time that a watch may take beyond the wait it asks for. */
+/** Time that a watch may take beyond the requested wait. */
 const watchSlackMs = 1000;
 /** Shorter than the first TCP retransmission, so a lost packet fails the call early. */
 const connectTimeoutMs = 300;
--- a/src/platform/wire-names.ts
+++ b/src/platform/wire-names.ts
@@ -25,7 +25,7 @@
 	notExecuted: 'slategauge-not-executed',
 	/** Signature with which the engine authenticates the answer. */
 	signature: 'slategauge-response-signature',
-	/** Present in all answers of an engine that drains. */
+	/** Present in all answers of a draining engine. */
 	draining: 'server-leaving',
 	/** Requests per second that an engine accepts from all VMs together; present while the limit applies. */
 	rateLimit: 'server-limit',
