--- a/bench/burst.ts
+++ b/bench/burst.ts
@@ -10,7 +10,7 @@
 import { runExperiment } from './experiment.js';
 import { faults } from './faults.js';
 import type { BenchArgs } from './main.js';
-import type { Stream } from './make-trace.js';
+import type { TrafficStream } from './make-trace.js';
 import { makeTrace } from './make-trace.js';
 
 /** Engines of the burst: about 750 tokens a second each at 50 ms between tokens. */
@@ -18,7 +18,7 @@
 /** Offered load of the steady classes and of the burst, for twelve engines. */
 const burstFromMs = 3000;
 
-export async function burstBench(name: string, args: BenchArgs): Promise<void> {
+export async function runBurstBench(name: string, args: BenchArgs): Promise<void> {
 	const deployment = deployments[args.deployment];
 	if (!deployment) {
 		throw new Error(`no deployment is named ${args.deployment}`);
@@ -38,48 +38,106 @@
 	seed: number,
 	policy: string,
 ): Promise<ExperimentResult> {
-	const streams = burstStreams(deployment, args.endpoints / 12, args.seconds * 1000);
+	const streams = createBurstStreams(deployment, args.endpoints / 12, args.seconds * 1000);
 	const fault: Fault | undefined = faults[name];
 	return runExperiment({
 		deployment,
 		daemons: args.daemons,
 		engines: args.endpoints,
-		engine: burstEngine,
-		endpoint: { slots: 24, max_slots: 64 },
+		engineOptions: burstEngine,
+		endpointOptions: { slots: 24, max_slots: 64 },
 		policy: { name: policy },
 		trace: makeTrace(deployment, streams, seed),
 		fault,
-		drills: fault !== undefined,
+		areDrillsEnabled: fault !== undefined,
 	});
 }
 
 /** Twice the capacity in all; the two highest tiers alone fit. */
-export function burstStreams(deployment: Deployment, scale: number, untilMs: number): Stream[] {
+export function createBurstStreams(
+	deployment: Deployment,
+	scale: number,
+	untilMs: number,
+): TrafficStream[] {
 	const steady = { fromMs: 0, untilMs, stream: true };
 	const burst = { fromMs: burstFromMs, untilMs, stream: true };
 	if (deployment.name === 'dasom') {
 		const roasters = ['roaster-han', 'roaster-mun'];
 		return [
-			{ class: 'letter', customers: ['letters'], perSecond: 30 * scale, tokens: 80, ...steady },
-			{ class: 'chat', customers: roasters, perSecond: 40 * scale, tokens: 40, ...steady },
-			{ class: 'lot-tag', customers: ['warehouse'], perSecond: 20 * scale, tokens: 30, ...steady },
-			{ class: 'lot-tag', customers: ['warehouse'], perSecond: 320 * scale, tokens: 30, ...burst },
-			{ class: 'order', customers: ['letters'], perSecond: 4 * scale, tokens: 0, ...steady },
+			{
+				class: 'letter',
+				customers: ['letters'],
+				requestsPerS: 30 * scale,
+				medianTokens: 80,
+				...steady,
+			},
+			{ class: 'chat', customers: roasters, requestsPerS: 40 * scale, medianTokens: 40, ...steady },
+			{
+				class: 'lot-tag',
+				customers: ['warehouse'],
+				requestsPerS: 20 * scale,
+				medianTokens: 30,
+				...steady,
+			},
+			{
+				class: 'lot-tag',
+				customers: ['warehouse'],
+				requestsPerS: 320 * scale,
+				medianTokens: 30,
+				...burst,
+			},
+			{
+				class: 'order',
+				customers: ['letters'],
+				requestsPerS: 4 * scale,
+				medianTokens: 0,
+				...steady,
+			},
 		];
 	}
 	return [
-		{ class: 'rundown', customers: ['newsroom'], perSecond: 15 * scale, tokens: 60, ...steady },
+		{
+			class: 'rundown',
+			customers: ['newsroom'],
+			requestsPerS: 15 * scale,
+			medianTokens: 60,
+			...steady,
+		},
 		{
 			class: 'catch-up',
 			customers: ['commuter-web'],
-			perSecond: 60 * scale,
-			tokens: 30,
+			requestsPerS: 60 * scale,
+			medianTokens: 30,
+			...steady,
+		},
+		{
+			class: 'chat',
+			customers: ['listener-app'],
+			requestsPerS: 30 * scale,
+			medianTokens: 40,
+			...steady,
+		},
+		{
+			class: 'chat',
+			customers: ['listener-app'],
+			requestsPerS: 250 * scale,
+			medianTokens: 40,
+			...burst,
+		},
+		{
+			class: 'archive',
+			customers: ['archive-desk'],
+			requestsPerS: 8 * scale,
+			medianTokens: 120,
+			...steady,
+		},
+		{
+			class: 'recap-post',
+			customers: ['newsroom'],
+			requestsPerS: 2 * scale,
+			medianTokens: 0,
 			...steady,
 		},
-		{ class: 'chat', customers: ['listener-app'], perSecond: 30 * scale, tokens: 40, ...steady },
-		{ class: 'chat', customers: ['listener-app'], perSecond: 250 * scale, tokens: 40, ...burst },
-		{ class: 'archive', customers: ['archive-desk'], perSecond: 8 * scale, tokens: 120, ...steady },
-		{ class: 'recap-post', customers: ['newsroom'], perSecond: 2 * scale, tokens: 0, ...steady },
 	];
 }
 
--- a/bench/control-cost.ts
+++ b/bench/control-cost.ts
@@ -7,9 +7,9 @@
 import { formatTable } from '../src/core/text/table.js';
 import type { StatusReport } from '../src/infra/control/types.js';
 import { ReplayClient } from '../src/infra/replay-client.js';
-import { configurationOf, lakeshore } from './deployments.js';
-import { Fleet, keyOf, sleep, spawnIdle } from './fleet.js';
-import type { Stream } from './make-trace.js';
+import { buildConfiguration, lakeshore } from './deployments.js';
+import { customerApiKey, Fleet, sleep, spawnIdleRuntime } from './fleet.js';
+import type { TrafficStream } from './make-trace.js';
 import { makeTrace } from './make-trace.js';
 import { writeResult } from './output.js';
 
@@ -37,7 +37,7 @@
 	kv_calls_s: number;
 }
 
-export async function controlCostBench(
+export async function runControlCostBench(
 	sizes: number[],
 	policies: string[],
 	out: string,
@@ -70,9 +70,9 @@
 			1,
 		);
 		await fleet.startDaemons();
-		const cfg = configurationOf(lakeshore, fleet, { name: policy });
-		await fleet.apply(cfg);
-		await fleet.waitFor((status) => status.members.length === daemons, 60_000);
+		const cfg = buildConfiguration(lakeshore, fleet, { name: policy });
+		await fleet.applyConfiguration(cfg);
+		await fleet.waitForStatus((status) => status.members.length === daemons, 60_000);
 		await sleep(settleMs);
 		const labels = { daemons, policy };
 		const idle = await phase(fleet, { ...labels, phase: 'idle' }, idleRss, () => sleep(idleMs));
@@ -86,17 +86,17 @@
 }
 
 async function drive(fleet: Fleet, daemons: number): Promise<void> {
-	const stream: Stream = {
+	const stream: TrafficStream = {
 		class: 'chat',
 		customers: ['listener-app'],
-		perSecond: perDaemon * daemons,
+		requestsPerS: perDaemon * daemons,
 		fromMs: 0,
 		untilMs: loadMs,
-		tokens: 20,
+		medianTokens: 20,
 		stream: true,
 	};
 	const trace = makeTrace(lakeshore, [stream], daemons);
-	const keys = new Map(lakeshore.customers.map(({ name }) => [name, keyOf(name)]));
+	const keys = new Map(lakeshore.customers.map(({ name }) => [name, customerApiKey(name)]));
 	const client = new ReplayClient({ daemonUrls: fleet.daemonUrls, keys, timeoutMs: 60_000 });
 	await client.replay(trace);
 }
@@ -130,13 +130,15 @@
 }
 
 async function statuses(fleet: Fleet): Promise<StatusReport[]> {
-	const reads = [...fleet.daemons.keys()].map((index) => fleet.control(index).status.query());
+	const reads = [...fleet.daemons.keys()].map((index) =>
+		fleet.createControlClient(index).status.query(),
+	);
 	return Promise.all(reads);
 }
 
 /** Resident memory of a runtime that does nothing. */
 async function idleRuntimeBytes(): Promise<number> {
-	const { rss, proc } = await spawnIdle();
+	const { rss, proc } = await spawnIdleRuntime();
 	proc.child.kill();
 	return rss;
 }
--- a/bench/deployments.ts
+++ b/bench/deployments.ts
@@ -6,7 +6,7 @@
 import { configurationSchema, hashToken } from '../src/core/configuration/index.js';
 import type { ClassTargets } from '../src/core/replay/types.js';
 import type { Fleet } from './fleet.js';
-import { keyHashOf, peerToken } from './fleet.js';
+import { hashCustomerApiKey, peerToken } from './fleet.js';
 
 /** What one deployment fixes. */
 export interface Deployment {
@@ -93,7 +93,7 @@
 export const deployments: Record<string, Deployment> = { lakeshore, dasom };
 
 /** Configuration of a deployment over a fleet's stand-ins. */
-export function configurationOf(
+export function buildConfiguration(
 	deployment: Deployment,
 	fleet: Fleet,
 	policy: object,
@@ -117,7 +117,7 @@
 	}));
 	const customers = deployment.customers.map((customer) => ({
 		...customer,
-		key_hashes: [keyHashOf(customer.name)],
+		key_hashes: [hashCustomerApiKey(customer.name)],
 	}));
 	return configurationSchema.parse({
 		policy,
@@ -130,7 +130,7 @@
 }
 
 /** Targets by class, for verdicts. */
-export function targetsOf(cfg: Configuration): Map<string, ClassTargets> {
+export function getClassTargets(cfg: Configuration): Map<string, ClassTargets> {
 	return new Map(
 		cfg.classes.map((cls) => [
 			cls.name,
--- a/bench/experiment.ts
+++ b/bench/experiment.ts
@@ -12,10 +12,10 @@
 import { ReplayClient } from '../src/infra/replay-client.js';
 import type { EngineOptions, EngineStats } from '../test/stand-ins/engine.js';
 import type { Deployment } from './deployments.js';
-import { configurationOf, targetsOf } from './deployments.js';
-import { Fleet, keyOf, sleep } from './fleet.js';
+import { buildConfiguration, getClassTargets } from './deployments.js';
+import { customerApiKey, Fleet, sleep } from './fleet.js';
 import type { Findings } from './oracle.js';
-import { judge } from './oracle.js';
+import { checkTimeline } from './oracle.js';
 
 /** Time after the last request in which answers may still come, in milliseconds. */
 const tailMs = 130_000;
@@ -30,12 +30,12 @@
 /** A fault in mid-run. */
 export interface Fault {
 	name: string;
-	atMs: number;
+	startMs: number;
 	/** VM that a cut sets apart. */
-	cutOff?: string;
+	isolatedVm?: string;
 	begin: (fleet: Fleet) => Promise<void>;
 	/** Ends the fault, after `forMs`. */
-	forMs?: number;
+	durationMs?: number;
 	end?: (fleet: Fleet) => Promise<void>;
 }
 
@@ -43,13 +43,13 @@
 	deployment: Deployment;
 	daemons: number;
 	engines: number;
-	engine: Partial<EngineOptions>;
+	engineOptions: Partial<EngineOptions>;
 	/** Starting slots and the like of each engine in the configuration. */
-	endpoint: object;
+	endpointOptions: object;
 	policy: object;
 	trace: TraceRequest[];
 	fault?: Fault;
-	drills?: boolean;
+	areDrillsEnabled?: boolean;
 }
 
 /** Figures of one experiment. */
@@ -78,18 +78,19 @@
 	const fleet = new Fleet({
 		daemons: opts.daemons,
 		domains: opts.deployment.domains,
-		settings: () => `[limits]\nstall_ms = ${stallMs}\n[drills]\nenabled = ${opts.drills === true}`,
+		settings: () =>
+			`[limits]\nstall_ms = ${stallMs}\n[drills]\nenabled = ${opts.areDrillsEnabled === true}`,
 	});
 	try {
 		const engines = Array.from({ length: opts.engines }, () => ({
-			...opts.engine,
+			...opts.engineOptions,
 			models: [opts.deployment.model],
 		}));
 		await fleet.startStandIns(engines, 2);
 		await fleet.startDaemons();
-		const cfg = configurationOf(opts.deployment, fleet, opts.policy, opts.endpoint);
-		await fleet.apply(cfg);
-		await fleet.waitFor((status) => status.members.length === opts.daemons);
+		const cfg = buildConfiguration(opts.deployment, fleet, opts.policy, opts.endpointOptions);
+		await fleet.applyConfiguration(cfg);
+		await fleet.waitForStatus((status) => status.members.length === opts.daemons);
 		await sleep(1000);
 		return await measure(fleet, cfg, opts);
 	} finally {
@@ -102,7 +103,9 @@
 	cfg: Configuration,
 	opts: ExperimentOptions,
 ): Promise<ExperimentResult> {
-	const keys = new Map(cfg.customers.map((customer) => [customer.name, keyOf(customer.name)]));
+	const keys = new Map(
+		cfg.customers.map((customer) => [customer.name, customerApiKey(customer.name)]),
+	);
 	const client = new ReplayClient({ daemonUrls: fleet.daemonUrls, keys, timeoutMs: tailMs });
 	const collector = new EventCollector(fleet);
 	const before = await totals(fleet);
@@ -116,7 +119,7 @@
 	const elapsedS = (Date.now() - began) / 1000;
 	const after = await totals(fleet);
 	const engines = await engineTotals(fleet);
-	return figures(opts, cfg, results, collector.merged(), {
+	return figures(opts, cfg, results, collector.mergeEvents(), {
 		began,
 		...engines,
 		cpuPercent: (after.cpuMs - before.cpuMs) / elapsedS / 10 / opts.daemons,
@@ -141,7 +144,7 @@
 	events: TimelineEvent[],
 	measured: Measured,
 ): ExperimentResult {
-	const targets = targetsOf(cfg);
+	const targets = getClassTargets(cfg);
 	const durationS = (opts.trace.at(-1)?.at_ms ?? 1000) / 1000;
 	const targetOf = (result: ReplayResult) => targets.get(result.class) as ClassTargets;
 	const useful = results.filter((result) => isGoodput(result, targetOf(result)));
@@ -158,12 +161,12 @@
 		wastedPercent: round((100 * (measured.generated - usefulTokens)) / measured.generated),
 		cacheHitPercent: measured.cacheHitPercent,
 		wrong: results.filter((result) => result.wrong).length,
-		findings: judge(events, deadlines, engines),
+		findings: checkTimeline(events, deadlines, engines),
 		findingsOfRest:
-			opts.fault?.cutOff === undefined
+			opts.fault?.isolatedVm === undefined
 				? undefined
-				: judge(without(events, opts.fault.cutOff), deadlines, engines),
-		recoveryS: opts.fault && recovery(results, targets, measured.began + opts.fault.atMs),
+				: checkTimeline(without(events, opts.fault.isolatedVm), deadlines, engines),
+		recoveryS: opts.fault && recovery(results, targets, measured.began + opts.fault.startMs),
 		daemonCpuPercent: round(measured.cpuPercent),
 		peerBytesPerS: Math.round(measured.bytesPerS),
 		kvCalls: measured.kvCalls,
@@ -200,10 +203,10 @@
 }
 
 async function inject(fleet: Fleet, fault: Fault): Promise<void> {
-	await sleep(fault.atMs);
+	await sleep(fault.startMs);
 	await fault.begin(fleet);
 	if (fault.end) {
-		await sleep(fault.forMs ?? 0);
+		await sleep(fault.durationMs ?? 0);
 		await fault.end(fleet);
 	}
 }
@@ -212,7 +215,7 @@
 	const sum = { cpuMs: 0, bytes: 0, kvCalls: 0 };
 	for (const index of fleet.daemons.keys()) {
 		try {
-			const status = await fleet.control(index).status.query();
+			const status = await fleet.createControlClient(index).status.query();
 			sum.cpuMs += status.cpu_ms;
 			sum.bytes += status.peer_bytes_sent;
 			sum.kvCalls += status.kv_calls;
@@ -229,7 +232,7 @@
 	let prompts = 0;
 	for (const engine of fleet.engines) {
 		try {
-			const stats = await fleet.stats<EngineStats>(engine);
+			const stats = await fleet.fetchStats<EngineStats>(engine);
 			generated += stats.generated;
 			hits += stats.cacheHits;
 			prompts += stats.cacheHits + stats.cacheMisses;
@@ -253,14 +256,14 @@
 		await Promise.all(reads);
 	}
 
-	merged(): TimelineEvent[] {
+	mergeEvents(): TimelineEvent[] {
 		return mergeTimelines([...this.events.values()]);
 	}
 
 	private async collectOne(index: number): Promise<void> {
 		const since = this.seen.get(index) ?? 0;
 		try {
-			const fresh = await this.fleet.control(index).events.query({ since });
+			const fresh = await this.fleet.createControlClient(index).events.query({ since });
 			const known = this.events.get(index) ?? [];
 			const last = known.at(-1)?.seq ?? 0;
 			for (const event of fresh as TimelineEvent[]) {
--- a/bench/faults.ts
+++ b/bench/faults.ts
@@ -4,7 +4,7 @@
  */
 import type { Fault } from './experiment.js';
 import type { Fleet } from './fleet.js';
-import { end } from './fleet.js';
+import { stopProcess } from './fleet.js';
 
 const atMs = 9000;
 const forMs = 5000;
@@ -14,48 +14,48 @@
 export const faults: Record<string, Fault> = {
 	'slow-endpoint': {
 		name: 'slow-endpoint',
-		atMs,
-		begin: (fleet) => fleet.fault(fleet.engines[victim], { slowFactor: 4 }),
-		forMs,
-		end: (fleet) => fleet.fault(fleet.engines[victim], { slowFactor: 1 }),
+		startMs: atMs,
+		begin: (fleet) => fleet.setFaults(fleet.engines[victim], { slowFactor: 4 }),
+		durationMs: forMs,
+		end: (fleet) => fleet.setFaults(fleet.engines[victim], { slowFactor: 1 }),
 	},
 	'dead-endpoint': {
 		name: 'dead-endpoint',
-		atMs,
+		startMs: atMs,
 		begin: async (fleet) => {
 			const engine = fleet.engines[victim];
 			if (engine) {
-				await end(engine);
+				await stopProcess(engine);
 			}
 		},
 	},
 	'dead-daemon': {
 		name: 'dead-daemon',
-		atMs,
+		startMs: atMs,
 		begin: async (fleet) => {
 			const daemon = fleet.daemons[victim];
 			if (daemon) {
-				await end(daemon);
+				await stopProcess(daemon);
 			}
 		},
 	},
 	'frozen-daemon': {
 		name: 'frozen-daemon',
-		atMs,
+		startMs: atMs,
 		begin: async (fleet) => {
 			fleet.daemons[victim]?.child.kill('SIGSTOP');
 		},
-		forMs,
+		durationMs: forMs,
 		end: async (fleet) => {
 			fleet.daemons[victim]?.child.kill('SIGCONT');
 		},
 	},
 	'cut-daemon': {
 		name: 'cut-daemon',
-		cutOff: `vm-${victim + 1}`,
-		atMs,
+		isolatedVm: `vm-${victim + 1}`,
+		startMs: atMs,
 		begin: (fleet) => cut(fleet, true),
-		forMs,
+		durationMs: forMs,
 		end: (fleet) => cut(fleet, false),
 	},
 };
@@ -66,7 +66,7 @@
 	const cutOff = names[victim] ?? '';
 	const calls = names.map((name, index) => {
 		const peers = name === cutOff ? names.filter((other) => other !== name) : [cutOff];
-		return fleet.control(index).cutPeers.mutate({ peers: on ? peers : [] });
+		return fleet.createControlClient(index).cutPeers.mutate({ peers: on ? peers : [] });
 	});
 	await Promise.all(calls);
 }
--- a/bench/fleet.ts
+++ b/bench/fleet.ts
@@ -22,10 +22,10 @@
 const startTimeoutMs = 20_000;
 
 /** Options of one engine process, which may hold several engines. */
-export type EngineProcess = Partial<EngineOptions> & { count?: number };
+export type EngineProcessOptions = Partial<EngineOptions> & { count?: number };
 
 /** A stand-in or daemon that runs. */
-export interface Proc {
+export interface ManagedProcess {
 	name: string;
 	child: childProcess.ChildProcess;
 	port: number;
@@ -43,10 +43,10 @@
 }
 
 export class Fleet {
-	readonly daemons: Proc[] = [];
-	readonly engines: Proc[] = [];
-	readonly services: Proc[] = [];
-	platform?: Proc;
+	readonly daemons: ManagedProcess[] = [];
+	readonly engines: ManagedProcess[] = [];
+	readonly services: ManagedProcess[] = [];
+	platform?: ManagedProcess;
 	private dir = '';
 	private version = 0;
 
@@ -61,7 +61,7 @@
 	}
 
 	/** Starts platform, engines and services; daemons follow with `startDaemons`. */
-	async startStandIns(engines: EngineProcess[], services: number): Promise<void> {
+	async startStandIns(engines: EngineProcessOptions[], services: number): Promise<void> {
 		this.dir = await fs.mkdtemp(path.join(os.tmpdir(), 'slategauge-'));
 		this.platform = (await this.standIn('platform', 'platform'))[0];
 		const started = engines.map((opts, index) =>
@@ -79,7 +79,7 @@
 	}
 
 	/** Starts daemon `index`, again after it was ended. */
-	async startDaemon(index: number): Promise<Proc> {
+	async startDaemon(index: number): Promise<ManagedProcess> {
 		const id = `vm-${index + 1}`;
 		const domain = this.opts.domains[index % this.opts.domains.length] ?? 'hall';
 		const file = path.join(this.dir, `${id}.toml`);
@@ -90,12 +90,12 @@
 		proc.controlPort = Number(/control_port=(\d+)/.exec(line)?.[1]);
 		this.daemons[index] = proc;
 		proc.domain = domain;
-		await this.list(proc, 'live');
+		await this.registerVm(proc, 'live');
 		return proc;
 	}
 
 	/** Puts a daemon into the platform's list. */
-	async list(proc: Proc, state: 'live' | 'leaving'): Promise<void> {
+	async registerVm(proc: ManagedProcess, state: 'live' | 'leaving'): Promise<void> {
 		await this.post(this.platformUrl, '/vms', {
 			id: proc.name,
 			address: '127.0.0.1',
@@ -106,24 +106,24 @@
 		});
 	}
 
-	control(index: number): ControlClient {
+	createControlClient(index: number): ControlClient {
 		return createControlClient(`127.0.0.1:${this.daemons[index]?.controlPort}`, peerToken);
 	}
 
 	/** Applies a configuration and waits until every daemon has it in force. */
-	async apply(document: Configuration): Promise<void> {
-		const client = this.control(0);
+	async applyConfiguration(document: Configuration): Promise<void> {
+		const client = this.createControlClient(0);
 		const accepted = await client.applyConfiguration.mutate({
 			document,
 			base: this.version,
 			by: 'bench',
 		});
 		this.version = accepted.version;
-		await this.waitFor(async (status) => status.configuration_version >= this.version);
+		await this.waitForStatus(async (status) => status.configuration_version >= this.version);
 	}
 
 	/** Waits until the status of every daemon passes. */
-	async waitFor(
+	async waitForStatus(
 		passes: (
 			status: Awaited<ReturnType<ControlClient['status']['query']>>,
 		) => Promise<boolean> | boolean,
@@ -141,11 +141,11 @@
 	}
 
 	/** Sets faults of a stand-in. */
-	async fault(proc: Proc | undefined, faults: object): Promise<void> {
+	async setFaults(proc: ManagedProcess | undefined, faults: object): Promise<void> {
 		await this.post(`http://127.0.0.1:${proc?.port}`, '/control', faults);
 	}
 
-	async stats<T>(proc: Proc | undefined, at = '/stats'): Promise<T> {
+	async fetchStats<T>(proc: ManagedProcess | undefined, at = '/stats'): Promise<T> {
 		const res = await fetch(`http://127.0.0.1:${proc?.port}${at}`);
 		return (await res.json()) as T;
 	}
@@ -156,7 +156,7 @@
 		if (this.platform) {
 			all.push(this.platform);
 		}
-		await Promise.all(all.map((proc) => end(proc)));
+		await Promise.all(all.map((proc) => stopProcess(proc)));
 		await fs.rm(this.dir, { recursive: true, force: true });
 	}
 
@@ -167,14 +167,14 @@
 		) => Promise<boolean> | boolean,
 	): Promise<boolean> {
 		try {
-			return await passes(await this.control(index).status.query());
+			return await passes(await this.createControlClient(index).status.query());
 		} catch {
 			return false;
 		}
 	}
 
 	/** One entry for each port; several engines may share a process. */
-	private async standIn(name: string, kind: string, options = '{}'): Promise<Proc[]> {
+	private async standIn(name: string, kind: string, options = '{}'): Promise<ManagedProcess[]> {
 		const proc = spawn(name, [standInMain, kind, options]);
 		const line = await firstLine(proc, 'ports=');
 		const ports = line.slice('ports='.length).split(',').map(Number);
@@ -211,17 +211,20 @@
 }
 
 /** Bearer key of a customer of a bench. */
-export function keyOf(customer: string): string {
+export function customerApiKey(customer: string): string {
 	return `key-of-${customer}`;
 }
 
 /** Hash of a customer's key, as the configuration keeps it. */
-export function keyHashOf(customer: string): string {
-	return hashToken(keyOf(customer));
+export function hashCustomerApiKey(customer: string): string {
+	return hashToken(customerApiKey(customer));
 }
 
 /** Ends a process and waits until it is gone. */
-export async function end(proc: Proc, signal: NodeJS.Signals = 'SIGKILL'): Promise<void> {
+export async function stopProcess(
+	proc: ManagedProcess,
+	signal: NodeJS.Signals = 'SIGKILL',
+): Promise<void> {
 	if (proc.child.exitCode !== null || proc.child.signalCode !== null) {
 		return;
 	}
@@ -236,10 +239,10 @@
 }
 
 /** Program of the bare relay. */
-export const relayMain = path.join(root, 'bench/relay.js');
+export const bareRelayPath = path.join(root, 'bench/relay.js');
 
 /** Starts a program that prints its port. */
-export async function spawnWithPort(name: string, args: string[]): Promise<Proc> {
+export async function spawnWithPort(name: string, args: string[]): Promise<ManagedProcess> {
 	const proc = spawn(name, args);
 	const line = await firstLine(proc, 'ports=');
 	proc.port = Number(line.slice('ports='.length));
@@ -247,21 +250,21 @@
 }
 
 /** Starts a runtime that does nothing, and its resident bytes. */
-export async function spawnIdle(): Promise<{ proc: Proc; rss: number }> {
+export async function spawnIdleRuntime(): Promise<{ proc: ManagedProcess; rss: number }> {
 	const program = 'setInterval(() => {}, 1e6); console.log("rss=" + process.memoryUsage.rss())';
 	const proc = spawn('idle', ['-e', program]);
 	const line = await firstLine(proc, 'rss=');
 	return { proc, rss: Number(line.slice('rss='.length)) };
 }
 
-function spawn(name: string, args: string[]): Proc {
+function spawn(name: string, args: string[]): ManagedProcess {
 	const child = childProcess.spawn(process.execPath, args, { stdio: ['pipe', 'pipe', 'inherit'] });
-	const proc: Proc = { name, child, port: 0, controlPort: 0, domain: '', lines: [] };
+	const proc: ManagedProcess = { name, child, port: 0, controlPort: 0, domain: '', lines: [] };
 	readline.createInterface({ input: child.stdout }).on('line', (line) => proc.lines.push(line));
 	return proc;
 }
 
-async function firstLine(proc: Proc, part: string): Promise<string> {
+async function firstLine(proc: ManagedProcess, part: string): Promise<string> {
 	const until = Date.now() + startTimeoutMs;
 	while (Date.now() < until) {
 		const line = proc.lines.find((known) => known.includes(part));
--- a/bench/hot-path.ts
+++ b/bench/hot-path.ts
@@ -5,8 +5,8 @@
 import * as hdr from 'hdr-histogram-js';
 import * as undici from 'undici';
 import { formatTable } from '../src/core/text/table.js';
-import { configurationOf, lakeshore } from './deployments.js';
-import { Fleet, keyOf, relayMain, spawnWithPort } from './fleet.js';
+import { buildConfiguration, lakeshore } from './deployments.js';
+import { bareRelayPath, customerApiKey, Fleet, spawnWithPort } from './fleet.js';
 import { writeResult } from './output.js';
 
 /** One request after the other, for latency. */
@@ -26,7 +26,7 @@
 	cpuMs: () => Promise<number>;
 }
 
-export async function hotPathBench(out: string): Promise<void> {
+export async function runHotPathBench(out: string): Promise<void> {
 	const fleet = new Fleet({ daemons: 1, domains: lakeshore.domains });
 	const engine = { stepBaseMs: 1, stepEachMs: 0, maxBatch: 256 };
 	await fleet.startStandIns(
@@ -34,15 +34,15 @@
 		0,
 	);
 	const relay = await spawnWithPort('relay', [
-		relayMain,
+		bareRelayPath,
 		`http://127.0.0.1:${fleet.engines[0]?.port}`,
 	]);
 	try {
 		await fleet.startDaemons();
 		const endpoint = { slots: 256, max_slots: 256 };
 		const policy = { name: 'granted', learn_limits: false };
-		const cfg = configurationOf(lakeshore, fleet, policy, endpoint);
-		await fleet.apply({ ...cfg, endpoints: cfg.endpoints.slice(0, 1) });
+		const cfg = buildConfiguration(lakeshore, fleet, policy, endpoint);
+		await fleet.applyConfiguration({ ...cfg, endpoints: cfg.endpoints.slice(0, 1) });
 		const paths: Path[] = [
 			{ name: 'direct', url: `http://127.0.0.1:${fleet.engines[0]?.port}`, cpuMs: async () => 0 },
 			{
@@ -53,7 +53,7 @@
 			{
 				name: 'slategauged',
 				url: fleet.daemonUrls[0] ?? '',
-				cpuMs: async () => (await fleet.control(0).status.query()).cpu_ms,
+				cpuMs: async () => (await fleet.createControlClient(0).status.query()).cpu_ms,
 			},
 		];
 		const rows = await measureAll(paths);
@@ -142,7 +142,7 @@
 		method: 'POST',
 		path: '/v1/chat/completions',
 		headers: {
-			authorization: `Bearer ${keyOf('archive-desk')}`,
+			authorization: `Bearer ${customerApiKey('archive-desk')}`,
 			'content-type': 'application/json',
 		},
 		body: JSON.stringify({
--- a/bench/kv.ts
+++ b/bench/kv.ts
@@ -6,7 +6,7 @@
 
 import type { Configuration } from '../src/core/configuration/index.js';
 import { formatTable } from '../src/core/text/table.js';
-import { configurationOf, lakeshore } from './deployments.js';
+import { buildConfiguration, lakeshore } from './deployments.js';
 import { Fleet, sleep } from './fleet.js';
 import { writeResult } from './output.js';
 
@@ -18,7 +18,7 @@
 const changesADay = 1300;
 const secondsADay = 86_400;
 
-export async function kvBench(sizes: number[], out: string): Promise<void> {
+export async function runKvBench(sizes: number[], out: string): Promise<void> {
 	const rows: object[] = [];
 	for (const daemons of sizes) {
 		const row = await measure(daemons);
@@ -33,9 +33,9 @@
 	try {
 		await fleet.startStandIns([{}, {}], 1);
 		await fleet.startDaemons();
-		const cfg = configurationOf(lakeshore, fleet, {});
-		await fleet.apply(cfg);
-		await fleet.waitFor((status) => status.members.length === daemons, 60_000);
+		const cfg = buildConfiguration(lakeshore, fleet, {});
+		await fleet.applyConfiguration(cfg);
+		await fleet.waitForStatus((status) => status.members.length === daemons, 60_000);
 		await sleep(3000);
 		const idle = await callsDuring(fleet, () => sleep(idleMs));
 		const change = await measureChanges(fleet, cfg);
@@ -68,7 +68,7 @@
 				...cls,
 				deadline_ms: cls.deadline_ms + change + 1,
 			}));
-			await fleet.apply({ ...cfg, classes });
+			await fleet.applyConfiguration({ ...cfg, classes });
 			slowestMs = Math.max(slowestMs, performance.now() - began);
 			await sleep(500);
 		}
@@ -77,9 +77,9 @@
 }
 
 async function measureOutage(fleet: Fleet): Promise<{ calls: number; firstSecond: number }> {
-	await fleet.fault(fleet.platform, { down: true });
+	await fleet.setFaults(fleet.platform, { down: true });
 	await sleep(outageMs);
-	await fleet.fault(fleet.platform, { down: false });
+	await fleet.setFaults(fleet.platform, { down: false });
 	let firstSecond = 0;
 	const calls = await callsDuring(fleet, async () => {
 		firstSecond = await callsDuring(fleet, () => sleep(1000));
@@ -90,9 +90,9 @@
 
 /** Calls that the platform's stand-in counted. */
 async function callsDuring(fleet: Fleet, run: () => Promise<void>): Promise<number> {
-	const before = await fleet.stats<{ calls: number }>(fleet.platform);
+	const before = await fleet.fetchStats<{ calls: number }>(fleet.platform);
 	await run();
-	const after = await fleet.stats<{ calls: number }>(fleet.platform);
+	const after = await fleet.fetchStats<{ calls: number }>(fleet.platform);
 	return after.calls - before.calls;
 }
 
--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -45,7 +45,7 @@
 	knownMs: number;
 }
 
-export async function limitsBench(sizes: readonly number[], out: string): Promise<void> {
+export async function runLimitsBench(sizes: readonly number[], out: string): Promise<void> {
 	for (const vms of sizes) {
 		for (const limit of limits) {
 			for (const demand of Object.keys(demands)) {
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -4,12 +4,12 @@
  */
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
-import { burstBench } from './burst.js';
-import { controlCostBench } from './control-cost.js';
-import { hotPathBench } from './hot-path.js';
-import { kvBench } from './kv.js';
-import { limitsBench } from './limits.js';
-import { messageCostBench } from './message-cost.js';
+import { runBurstBench } from './burst.js';
+import { runControlCostBench } from './control-cost.js';
+import { runHotPathBench } from './hot-path.js';
+import { runKvBench } from './kv.js';
+import { runLimitsBench } from './limits.js';
+import { runMessageCostBench } from './message-cost.js';
 
 /** Options of every bench. */
 export interface BenchArgs {
@@ -25,18 +25,18 @@
 }
 
 const benches: Record<string, (args: BenchArgs) => Promise<void>> = {
-	burst: (args) => burstBench('burst', args),
-	'slow-endpoint': (args) => burstBench('slow-endpoint', args),
-	'dead-endpoint': (args) => burstBench('dead-endpoint', args),
-	'dead-daemon': (args) => burstBench('dead-daemon', args),
-	'frozen-daemon': (args) => burstBench('frozen-daemon', args),
-	'cut-daemon': (args) => burstBench('cut-daemon', args),
+	burst: (args) => runBurstBench('burst', args),
+	'slow-endpoint': (args) => runBurstBench('slow-endpoint', args),
+	'dead-endpoint': (args) => runBurstBench('dead-endpoint', args),
+	'dead-daemon': (args) => runBurstBench('dead-daemon', args),
+	'frozen-daemon': (args) => runBurstBench('frozen-daemon', args),
+	'cut-daemon': (args) => runBurstBench('cut-daemon', args),
 	fleet: fleetBench,
-	'hot-path': (args) => hotPathBench(args.out),
-	'control-cost': (args) => controlCostBench(args.sizes, args.policies, args.out),
-	'message-cost': (args) => messageCostBench(args.out),
-	limits: (args) => limitsBench(args.sizes, args.out),
-	kv: (args) => kvBench(args.sizes, args.out),
+	'hot-path': (args) => runHotPathBench(args.out),
+	'control-cost': (args) => runControlCostBench(args.sizes, args.policies, args.out),
+	'message-cost': (args) => runMessageCostBench(args.out),
+	limits: (args) => runLimitsBench(args.sizes, args.out),
+	kv: (args) => runKvBench(args.sizes, args.out),
 };
 
 const args = await yargs(hideBin(process.argv))
@@ -66,6 +66,6 @@
 /** The same load before the same endpoints, with more and more daemons. */
 async function fleetBench(args: BenchArgs): Promise<void> {
 	for (const daemons of args.sizes) {
-		await burstBench('fleet', { ...args, daemons });
+		await runBurstBench('fleet', { ...args, daemons });
 	}
 }
--- a/bench/make-trace.ts
+++ b/bench/make-trace.ts
@@ -8,25 +8,29 @@
 import { wholeAnswer } from '../test/stand-ins/engine-text.js';
 import type { Deployment } from './deployments.js';
 import type { Rng } from './random.js';
-import { arrivals, longTail, seeded } from './random.js';
+import { createRng, generateArrivals, sampleLongTailLength } from './random.js';
 
 /** One class's stream of requests. */
-export interface Stream {
+export interface TrafficStream {
 	class: string;
 	customers: string[];
-	perSecond: number;
+	requestsPerS: number;
 	fromMs: number;
 	untilMs: number;
 	/** Median tokens of an answer; 0 for a plain service. */
-	tokens: number;
+	medianTokens: number;
 	stream: boolean;
 }
 
-export function makeTrace(deployment: Deployment, streams: Stream[], seed: number): TraceRequest[] {
+export function makeTrace(
+	deployment: Deployment,
+	streams: TrafficStream[],
+	seed: number,
+): TraceRequest[] {
 	const trace: TraceRequest[] = [];
 	for (const [index, stream] of streams.entries()) {
-		const rng = seeded(seed * 1000 + index);
-		for (const at of arrivals(rng, stream.perSecond, stream.fromMs, stream.untilMs)) {
+		const rng = createRng(seed * 1000 + index);
+		for (const at of generateArrivals(rng, stream.requestsPerS, stream.fromMs, stream.untilMs)) {
 			trace.push(makeRequest(deployment, stream, at, rng, `${seed}-${index}-${trace.length}`));
 		}
 	}
@@ -35,14 +39,14 @@
 
 function makeRequest(
 	deployment: Deployment,
-	stream: Stream,
+	stream: TrafficStream,
 	at: number,
 	rng: Rng,
 	id: string,
 ): TraceRequest {
 	const customer = stream.customers[Math.floor(rng() * stream.customers.length)] ?? '';
 	const shared = { at_ms: Math.round(at), id, customer, class: stream.class };
-	if (stream.tokens === 0) {
+	if (stream.medianTokens === 0) {
 		return {
 			...shared,
 			kind: 'service',
@@ -55,7 +59,7 @@
 			answer_sha256: sha256(JSON.stringify({ id, count: 1 })),
 		};
 	}
-	const length = longTail(rng, stream.tokens);
+	const length = sampleLongTailLength(rng, stream.medianTokens);
 	const prompt = `${stream.class} request ${id} len=${length}`;
 	return {
 		...shared,
--- a/bench/message-cost.ts
+++ b/bench/message-cost.ts
@@ -63,7 +63,7 @@
 	cpu_us: number;
 }
 
-export async function messageCostBench(out: string): Promise<void> {
+export async function runMessageCostBench(out: string): Promise<void> {
 	const rows = [await overTrpc(), await overDatagrams()];
 	process.stdout.write(`${formatTable(rows)}\n`);
 	await writeResult(out, { bench: 'message-cost', rows });
--- a/bench/oracle.ts
+++ b/bench/oracle.ts
@@ -29,22 +29,22 @@
 	starvedWindows: string[];
 }
 
-interface Story {
+interface RequestHistory {
 	tier: number;
-	cls: string;
-	queuedAt: number;
-	endedAt: number;
-	firstAt: number;
-	shed: boolean;
+	className: string;
+	queuedAtMs: number;
+	endedAtMs: number;
+	firstTokenAtMs: number;
+	isShed: boolean;
 	/** Given up on arrival: judged until its deadline. */
-	waitsUntil: number;
+	deadlineAtMs: number;
 	/** Spans in which it waited for a slot. */
-	waits: { from: number; until: number }[];
+	queueIntervals: { from: number; until: number }[];
 	/** When an endpoint failed it; it passes over that endpoint for a moment. */
 	failures: { endpoint: string; at: number }[];
 }
 
-export function judge(
+export function checkTimeline(
 	events: readonly TimelineEvent[],
 	deadlines: ReadonlyMap<string, number>,
 	endpoints: ReadonlySet<string>,
@@ -53,7 +53,7 @@
 	const starts = servedStarts(events).filter(
 		(event) => !event.floor && endpoints.has(event.endpoint ?? ''),
 	);
-	const shed = [...stories.values()].filter((story) => story.shed);
+	const shed = [...stories.values()].filter((story) => story.isShed);
 	const preempts = events.filter((event) => event.kind === eventKinds.requestPreempted);
 	return {
 		shedForLower: shed.filter((story) => lowerStarted(story, starts)).length,
@@ -92,8 +92,8 @@
 function collectStories(
 	events: readonly TimelineEvent[],
 	deadlines: ReadonlyMap<string, number>,
-): Map<string, Story> {
-	const stories = new Map<string, Story>();
+): Map<string, RequestHistory> {
+	const stories = new Map<string, RequestHistory>();
 	for (const event of events) {
 		const id = event.request ?? '';
 		if (event.kind === eventKinds.requestQueued) {
@@ -108,25 +108,25 @@
 	return stories;
 }
 
-function newStory(event: TimelineEvent, deadlines: ReadonlyMap<string, number>): Story {
+function newStory(event: TimelineEvent, deadlines: ReadonlyMap<string, number>): RequestHistory {
 	const at = event.time.wall;
 	const cls = event.cls ?? '';
 	return {
 		tier: event.tier ?? 0,
-		cls,
-		queuedAt: at,
-		endedAt: Infinity,
-		firstAt: Infinity,
-		shed: false,
-		waitsUntil: at + (deadlines.get(cls) ?? 0),
-		waits: [{ from: at, until: Infinity }],
+		className: cls,
+		queuedAtMs: at,
+		endedAtMs: Infinity,
+		firstTokenAtMs: Infinity,
+		isShed: false,
+		deadlineAtMs: at + (deadlines.get(cls) ?? 0),
+		queueIntervals: [{ from: at, until: Infinity }],
 		failures: [],
 	};
 }
 
-function continueStory(story: Story, event: TimelineEvent): void {
+function continueStory(story: RequestHistory, event: TimelineEvent): void {
 	const at = event.time.wall;
-	const last = story.waits.at(-1);
+	const last = story.queueIntervals.at(-1);
 	switch (event.kind) {
 		case eventKinds.requestStarted:
 			if (last) {
@@ -135,31 +135,31 @@
 			break;
 		case eventKinds.requestPreempted:
 		case eventKinds.requestResumed:
-			story.waits.push({ from: at, until: Infinity });
+			story.queueIntervals.push({ from: at, until: Infinity });
 			break;
 		case eventKinds.requestFailed:
 			story.failures.push({ endpoint: event.endpoint ?? '', at });
 			break;
 		case eventKinds.requestFirstToken:
-			story.firstAt = Math.min(story.firstAt, at);
+			story.firstTokenAtMs = Math.min(story.firstTokenAtMs, at);
 			break;
 		case eventKinds.requestShed:
-			story.shed = true;
-			story.endedAt = at;
+			story.isShed = true;
+			story.endedAtMs = at;
 			break;
 		case eventKinds.requestEnded:
-			story.endedAt = at;
+			story.endedAtMs = at;
 			break;
 	}
 }
 
 /** Work of a lower tier was started while the request waited and could have been served. */
-function lowerStarted(story: Story, starts: readonly TimelineEvent[]): boolean {
-	const early = story.shed && story.endedAt - story.queuedAt < graceMs;
-	const end = early ? story.waitsUntil : story.endedAt;
+function lowerStarted(story: RequestHistory, starts: readonly TimelineEvent[]): boolean {
+	const early = story.isShed && story.endedAtMs - story.queuedAtMs < graceMs;
+	const end = early ? story.deadlineAtMs : story.endedAtMs;
 	return starts.some((start) => {
 		const at = start.time.wall;
-		const waited = story.waits.some((wait) => at > wait.from + graceMs && at < wait.until);
+		const waited = story.queueIntervals.some((wait) => at > wait.from + graceMs && at < wait.until);
 		const passedOver = story.failures.some(
 			(failure) => failure.endpoint === start.endpoint && at - failure.at < passOverMs,
 		);
@@ -167,11 +167,11 @@
 	});
 }
 
-function higherWaited(event: TimelineEvent, stories: ReadonlyMap<string, Story>): boolean {
+function higherWaited(event: TimelineEvent, stories: ReadonlyMap<string, RequestHistory>): boolean {
 	const at = event.time.wall;
 	for (const story of stories.values()) {
 		const higher = story.tier < (event.tier ?? 0);
-		if (higher && story.queuedAt <= at && story.endedAt >= at - graceMs) {
+		if (higher && story.queuedAtMs <= at && story.endedAtMs >= at - graceMs) {
 			return true;
 		}
 	}
@@ -181,18 +181,22 @@
 /** Windows in which a request of a class waited throughout, and none was being answered. */
 function starvedWindows(
 	events: readonly TimelineEvent[],
-	stories: ReadonlyMap<string, Story>,
+	stories: ReadonlyMap<string, RequestHistory>,
 ): string[] {
 	const begin = events[0]?.time.wall ?? 0;
 	const end = events.at(-1)?.time.wall ?? 0;
-	const classes = new Set([...stories.values()].map((story) => story.cls));
+	const classes = new Set([...stories.values()].map((story) => story.className));
 	const starved: string[] = [];
 	for (const cls of classes) {
-		const ofClass = [...stories.values()].filter((story) => story.cls === cls);
+		const ofClass = [...stories.values()].filter((story) => story.className === cls);
 		for (let from = begin; from + windowMs <= end; from += windowStepMs) {
 			const until = from + windowMs;
-			const progressed = ofClass.some((story) => story.firstAt < until && story.endedAt > from);
-			const waited = ofClass.some((story) => story.queuedAt <= from && waitedUntil(story) >= until);
+			const progressed = ofClass.some(
+				(story) => story.firstTokenAtMs < until && story.endedAtMs > from,
+			);
+			const waited = ofClass.some(
+				(story) => story.queuedAtMs <= from && waitedUntil(story) >= until,
+			);
 			if (waited && !progressed) {
 				starved.push(`${cls}@${Math.round((from - begin) / 1000)}s`);
 			}
@@ -201,6 +205,6 @@
 	return starved;
 }
 
-function waitedUntil(story: Story): number {
-	return Math.min(story.firstAt, story.endedAt);
+function waitedUntil(story: RequestHistory): number {
+	return Math.min(story.firstTokenAtMs, story.endedAtMs);
 }
--- a/bench/quickstart.ts
+++ b/bench/quickstart.ts
@@ -12,8 +12,8 @@
 import { formatTable } from '../src/core/text/table.js';
 import { ReplayClient } from '../src/infra/replay-client.js';
 import type { EngineStats } from '../test/stand-ins/engine.js';
-import { configurationOf, lakeshore, targetsOf } from './deployments.js';
-import { Fleet, keyOf } from './fleet.js';
+import { buildConfiguration, getClassTargets, lakeshore } from './deployments.js';
+import { customerApiKey, Fleet } from './fleet.js';
 
 const here = path.dirname(fileURLToPath(import.meta.url));
 const tracePath = path.resolve(here, '../../test/fixtures/lakeshore-morning.jsonl');
@@ -31,14 +31,16 @@
 	process.stdout.write('starting the stand-ins and three daemons ...\n');
 	await fleet.startStandIns([{}, {}, {}, {}], 1);
 	await fleet.startDaemons();
-	const cfg = configurationOf(lakeshore, fleet, {});
-	await fleet.apply(cfg);
+	const cfg = buildConfiguration(lakeshore, fleet, {});
+	await fleet.applyConfiguration(cfg);
 	process.stdout.write(`replaying ${trace.length} requests ...\n`);
-	const keys = new Map(cfg.customers.map((customer) => [customer.name, keyOf(customer.name)]));
+	const keys = new Map(
+		cfg.customers.map((customer) => [customer.name, customerApiKey(customer.name)]),
+	);
 	const client = new ReplayClient({ daemonUrls: fleet.daemonUrls, keys, timeoutMs });
 	const results = await client.replay(trace);
 	const durationS = (trace.at(-1)?.at_ms ?? 0) / 1000;
-	process.stdout.write(`${formatTable(summarize(results, targetsOf(cfg), durationS))}\n`);
+	process.stdout.write(`${formatTable(summarize(results, getClassTargets(cfg), durationS))}\n`);
 	const generated = await totalGenerated();
 	const received = results.reduce((sum, result) => sum + result.tokens, 0);
 	process.stdout.write(`tokens generated ${generated}, received ${received}\n`);
@@ -57,6 +59,8 @@
 }
 
 async function totalGenerated(): Promise<number> {
-	const stats = await Promise.all(fleet.engines.map((engine) => fleet.stats<EngineStats>(engine)));
+	const stats = await Promise.all(
+		fleet.engines.map((engine) => fleet.fetchStats<EngineStats>(engine)),
+	);
 	return stats.reduce((sum, one) => sum + one.generated, 0);
 }
--- a/bench/random.ts
+++ b/bench/random.ts
@@ -4,7 +4,7 @@
  */
 export type Rng = () => number;
 
-export function seeded(seed: number): Rng {
+export function createRng(seed: number): Rng {
 	let state = seed >>> 0;
 	return () => {
 		state = (state + 0x6d2b79f5) >>> 0;
@@ -15,7 +15,12 @@
 }
 
 /** Times of a Poisson process, in milliseconds. */
-export function arrivals(rng: Rng, perSecond: number, fromMs: number, untilMs: number): number[] {
+export function generateArrivals(
+	rng: Rng,
+	perSecond: number,
+	fromMs: number,
+	untilMs: number,
+): number[] {
 	const times: number[] = [];
 	if (perSecond <= 0) {
 		return times;
@@ -31,7 +36,7 @@
 }
 
 /** A length with a long tail: mostly near the median, at most eight times it. */
-export function longTail(rng: Rng, median: number): number {
+export function sampleLongTailLength(rng: Rng, median: number): number {
 	const normal = Math.sqrt(-2 * Math.log(1 - rng())) * Math.cos(2 * Math.PI * rng());
 	const factor = Math.min(Math.exp(0.6 * normal), 8);
 	return Math.max(2, Math.round(median * factor));
--- a/test/fuzz/fleet-model.ts
+++ b/test/fuzz/fleet-model.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import * as assert from 'node:assert/strict';
-import { judge } from '../../bench/oracle.js';
+import { checkTimeline } from '../../bench/oracle.js';
 import type { ClaimRecord } from '../../src/core/claims/claims.js';
 import { KvClaimStore } from '../../src/core/claims/claims.js';
 import {
@@ -312,7 +312,7 @@
 			(event) => event.kind !== 'request.shed' || !this.froze.has(event.vm),
 		);
 		const deadlines = new Map(modelConfiguration.classes.map((cls) => [cls.name, cls.deadline_ms]));
-		const findings = judge(events, deadlines, new Set(endpointNames));
+		const findings = checkTimeline(events, deadlines, new Set(endpointNames));
 		return findings.shedForLower;
 	}
 
--- a/test/soak/run.ts
+++ b/test/soak/run.ts
@@ -4,7 +4,7 @@
  */
 import * as fs from 'node:fs';
 import { monitorEventLoopDelay } from 'node:perf_hooks';
-import { seeded } from '../../bench/random.js';
+import { createRng } from '../../bench/random.js';
 import { key as permanentKey } from '../steps/relay-world.js';
 import { Callers } from './callers.js';
 import type { SoakVm } from './deployment.js';
@@ -59,9 +59,9 @@
 	try {
 		await deployment.start(opts.vms, opts.engines, 1 + (opts.seed % 250));
 		await sleep(settleMs);
-		const callers = new Callers(deployment, seeded(opts.seed * 2 + 1));
+		const callers = new Callers(deployment, createRng(opts.seed * 2 + 1));
 		const traffic = callers.run(opts.callers);
-		const injector = new FaultInjector(deployment, seeded(opts.seed * 2), opts.faultTypeCount);
+		const injector = new FaultInjector(deployment, createRng(opts.seed * 2), opts.faultTypeCount);
 		await injector.run(opts.concurrentFaults, performance.now() + opts.seconds * 1000);
 		const notRecovered = await waitForRecovery(deployment, callers);
 		callers.stop();
--- a/test/steps/callers.steps.ts
+++ b/test/steps/callers.steps.ts
@@ -5,7 +5,7 @@
 import * as assert from 'node:assert/strict';
 import * as cucumber from '@cucumber/cucumber';
 import OpenAI from 'openai';
-import { keyOf } from '../../bench/fleet.js';
+import { customerApiKey } from '../../bench/fleet.js';
 import { wholeAnswer } from '../stand-ins/engine-text.js';
 import { writeThenRead } from './late-reader.js';
 import type { FleetWorld } from './world.js';
@@ -22,7 +22,7 @@
 
 function client(world: FleetWorld, customer: string): OpenAI {
 	const url = world.running.daemonUrls[0];
-	return new OpenAI({ baseURL: `${url}/v1`, apiKey: keyOf(customer), maxRetries: 0 });
+	return new OpenAI({ baseURL: `${url}/v1`, apiKey: customerApiKey(customer), maxRetries: 0 });
 }
 
 cucumber.When(
@@ -97,7 +97,7 @@
 	key?: string,
 	signal?: AbortSignal,
 ): Promise<{ status: number; outcome: string | null }> {
-	const headers: Record<string, string> = { authorization: `Bearer ${keyOf(customer)}` };
+	const headers: Record<string, string> = { authorization: `Bearer ${customerApiKey(customer)}` };
 	if (key !== undefined) {
 		headers['idempotency-key'] = key;
 	}
@@ -122,7 +122,7 @@
 	'the portal counted {int} effect(s) of {string}',
 	async function (this: FleetWorld, count: number, id: string) {
 		const [service] = this.running.services;
-		const effects = await this.running.stats<Record<string, number>>(service, '/effects');
+		const effects = await this.running.fetchStats<Record<string, number>>(service, '/effects');
 		assert.equal(effects[id] ?? 0, count);
 	},
 );
@@ -135,7 +135,7 @@
 ): Promise<{ status: number; name: string; outcome: string | null }> {
 	const res = await fetch(`${world.running.daemonUrls[0]}/v1/chat/completions`, {
 		method: 'POST',
-		headers: { authorization: `Bearer ${keyOf('listener-app')}`, ...headers },
+		headers: { authorization: `Bearer ${customerApiKey('listener-app')}`, ...headers },
 		body,
 	});
 	const json = (await res.json()) as { error: { code: string } };
@@ -178,7 +178,7 @@
 	'a caller that writes {int} bytes before it reads receives status {int}',
 	async function (this: FleetWorld, bytes: number, status: number) {
 		const url = new URL(this.running.daemonUrls[0] as string);
-		const authorization = `authorization: Bearer ${keyOf('listener-app')}`;
+		const authorization = `authorization: Bearer ${customerApiKey('listener-app')}`;
 		const head = ['POST /v1/chat/completions HTTP/1.1', `host: ${url.host}`, authorization];
 		const answer = await writeThenRead(url, head, bytes);
 		assert.match(answer, new RegExp(`^HTTP/1.1 ${status} `));
--- a/test/steps/faults.steps.ts
+++ b/test/steps/faults.steps.ts
@@ -4,23 +4,23 @@
  */
 import * as assert from 'node:assert/strict';
 import * as cucumber from '@cucumber/cucumber';
-import { end, sleep } from '../../bench/fleet.js';
+import { sleep, stopProcess } from '../../bench/fleet.js';
 import type { EngineStats } from '../stand-ins/engine.js';
 import { post } from './callers.steps.js';
 import type { FleetWorld } from './world.js';
 
 cucumber.Given('the key-value service loses its next reply', async function (this: FleetWorld) {
-	await this.running.fault(this.running.platform, { loseReplies: 1 });
+	await this.running.setFaults(this.running.platform, { loseReplies: 1 });
 });
 
 cucumber.Given('the key-value service is down', async function (this: FleetWorld) {
-	await this.running.fault(this.running.platform, { down: true });
+	await this.running.setFaults(this.running.platform, { down: true });
 });
 
 cucumber.Given(
 	'the key-value service takes {int} ms for each call',
 	async function (this: FleetWorld, delayMs: number) {
-		await this.running.fault(this.running.platform, { delayMs });
+		await this.running.setFaults(this.running.platform, { delayMs });
 	},
 );
 
@@ -28,7 +28,7 @@
 	'newsroom posts {string} with key {string} through daemon 1 and disconnects during the claim',
 	async function (this: FleetWorld, id: string, key: string) {
 		const { platform } = this.running;
-		const writes = async () => (await this.running.stats<{ writes: number }>(platform)).writes;
+		const writes = async () => (await this.running.fetchStats<{ writes: number }>(platform)).writes;
 		const before = await writes();
 		const caller = new AbortController();
 		const left = post(this, 0, 'newsroom', id, key, caller.signal).catch(() => undefined);
@@ -42,19 +42,19 @@
 );
 
 cucumber.Given('the portal closes connections after the effect', async function (this: FleetWorld) {
-	await this.running.fault(this.running.services[0], { cutAfterEffect: true });
+	await this.running.setFaults(this.running.services[0], { cutAfterEffect: true });
 });
 
 cucumber.Given('the portal is killed', async function (this: FleetWorld) {
 	const [portal] = this.running.services;
 	assert.ok(portal);
-	await end(portal);
+	await stopProcess(portal);
 });
 
 cucumber.Given(
 	'engine {int} breaks its streams after {int} tokens',
 	async function (this: FleetWorld, engine: number, tokens: number) {
-		await this.running.fault(this.running.engines[engine - 1], { cutAfterTokens: tokens });
+		await this.running.setFaults(this.running.engines[engine - 1], { cutAfterTokens: tokens });
 	},
 );
 
@@ -62,7 +62,7 @@
 	'engine {int} ends its streams cleanly after {int} tokens',
 	async function (this: FleetWorld, engine: number, tokens: number) {
 		const faults = { cutAfterTokens: tokens, endsCleanly: true };
-		await this.running.fault(this.running.engines[engine - 1], faults);
+		await this.running.setFaults(this.running.engines[engine - 1], faults);
 	},
 );
 
@@ -76,7 +76,7 @@
 cucumber.When(
 	'{word} posts {string} with key {string} through every daemon at once',
 	async function (this: FleetWorld, customer: string, id: string, key: string) {
-		await this.running.fault(this.running.services[0], { delayMs: 200 });
+		await this.running.setFaults(this.running.services[0], { delayMs: 200 });
 		const posts = this.running.daemons.map((_daemon, index) =>
 			post(this, index, customer, id, key),
 		);
@@ -93,13 +93,13 @@
 cucumber.When(
 	'newsroom posts {string} with key {string} and daemon 1 is killed after the effect',
 	async function (this: FleetWorld, id: string, key: string) {
-		await this.running.fault(this.running.services[0], { delayMs: 60_000 });
+		await this.running.setFaults(this.running.services[0], { delayMs: 60_000 });
 		const lost = post(this, 0, 'newsroom', id, key).catch(() => undefined);
 		await waitForEffect(this, id);
-		await end(this.running.daemons[0] as never);
+		await stopProcess(this.running.daemons[0] as never);
 		await lost;
 		const isDead = (member: { state: string }) => member.state === 'dead';
-		const survivor = this.running.control(1);
+		const survivor = this.running.createControlClient(1);
 		while (!(await survivor.status.query()).members.some(isDead)) {
 			await sleep(100);
 		}
@@ -109,7 +109,7 @@
 cucumber.When(
 	'newsroom posts {string} with key {string} through daemon 1 and disconnects',
 	async function (this: FleetWorld, id: string, key: string) {
-		await this.running.fault(this.running.services[0], { delayMs: 1500 });
+		await this.running.setFaults(this.running.services[0], { delayMs: 1500 });
 		const caller = new AbortController();
 		const left = post(this, 0, 'newsroom', id, key, caller.signal).catch(() => undefined);
 		await waitForEffect(this, id);
@@ -128,7 +128,7 @@
 /** Waits until the portal has recorded the effect. */
 async function waitForEffect(world: FleetWorld, id: string): Promise<void> {
 	const [portal] = world.running.services;
-	while (!(await world.running.stats<Record<string, number>>(portal, '/effects'))[id]) {
+	while (!(await world.running.fetchStats<Record<string, number>>(portal, '/effects'))[id]) {
 		await sleep(20);
 	}
 }
@@ -138,7 +138,7 @@
 	async function (this: FleetWorld, daemon: number) {
 		const proc = this.running.daemons[daemon - 1];
 		assert.ok(proc);
-		await end(proc);
+		await stopProcess(proc);
 		await this.running.startDaemon(daemon - 1);
 	},
 );
@@ -158,17 +158,17 @@
 		const cutOff = names[daemon - 1] ?? '';
 		for (const [index, name] of names.entries()) {
 			const peers = name === cutOff ? names.filter((other) => other !== name) : [cutOff];
-			await this.running.control(index).cutPeers.mutate({ peers });
+			await this.running.createControlClient(index).cutPeers.mutate({ peers });
 		}
 		const isDead = (member: { state: string }) => member.state === 'dead';
-		await this.running.waitFor((status) => status.members.some(isDead));
+		await this.running.waitForStatus((status) => status.members.some(isDead));
 	},
 );
 
 cucumber.When(
 	'engine {int} reports that it is leaving and {int} seconds pass',
 	async function (this: FleetWorld, engine: number, seconds: number) {
-		await this.running.fault(this.running.engines[engine - 1], { leaving: true });
+		await this.running.setFaults(this.running.engines[engine - 1], { leaving: true });
 		await sleep(seconds * 1000);
 	},
 );
@@ -176,7 +176,7 @@
 cucumber.Then(
 	'engine {int} received no requests',
 	async function (this: FleetWorld, engine: number) {
-		const stats = await this.running.stats<EngineStats>(this.running.engines[engine - 1]);
+		const stats = await this.running.fetchStats<EngineStats>(this.running.engines[engine - 1]);
 		assert.deepEqual(stats.runs, {});
 		assert.equal(stats.refused, 0);
 	},
--- a/test/steps/fleet.steps.ts
+++ b/test/steps/fleet.steps.ts
@@ -4,11 +4,11 @@
  */
 import * as assert from 'node:assert/strict';
 import * as cucumber from '@cucumber/cucumber';
-import { configurationOf, lakeshore } from '../../bench/deployments.js';
-import { end, keyOf } from '../../bench/fleet.js';
+import { buildConfiguration, lakeshore } from '../../bench/deployments.js';
+import { customerApiKey, stopProcess } from '../../bench/fleet.js';
 import { makeTrace } from '../../bench/make-trace.js';
 import type { Findings } from '../../bench/oracle.js';
-import { judge } from '../../bench/oracle.js';
+import { checkTimeline } from '../../bench/oracle.js';
 import type { ReplayResult } from '../../src/core/replay/types.js';
 import type { TimelineEvent } from '../../src/core/timeline/index.js';
 import { mergeTimelines } from '../../src/core/timeline/index.js';
@@ -30,9 +30,9 @@
 			{ settings },
 		);
 		const policy = { name: 'granted', learn_limits: false };
-		const cfg = configurationOf(lakeshore, this.running, policy, { slots, max_slots: slots });
-		await this.running.apply(cfg);
-		await this.running.waitFor((status) => status.members.length === daemons);
+		const cfg = buildConfiguration(lakeshore, this.running, policy, { slots, max_slots: slots });
+		await this.running.applyConfiguration(cfg);
+		await this.running.waitForStatus((status) => status.members.length === daemons);
 		this.cfg = cfg;
 	},
 );
@@ -44,15 +44,23 @@
 	other = { class: 'rundown', customer: 'newsroom' },
 ): Promise<void> {
 	const span = { fromMs: 0, untilMs: burstMs, stream: true };
-	const keys = new Map(lakeshore.customers.map(({ name }) => [name, keyOf(name)]));
+	const keys = new Map(lakeshore.customers.map(({ name }) => [name, customerApiKey(name)]));
 	const low = makeTrace(
 		lakeshore,
-		[{ class: cls, customers: ['archive-desk'], perSecond: 20, tokens: 30, ...span }],
+		[{ class: cls, customers: ['archive-desk'], requestsPerS: 20, medianTokens: 30, ...span }],
 		1,
 	);
 	const high = makeTrace(
 		lakeshore,
-		[{ class: other.class, customers: [other.customer], perSecond: 2, tokens: 20, ...span }],
+		[
+			{
+				class: other.class,
+				customers: [other.customer],
+				requestsPerS: 2,
+				medianTokens: 20,
+				...span,
+			},
+		],
 		2,
 	);
 	const urls = world.running.daemonUrls;
@@ -99,7 +107,7 @@
 cucumber.When(
 	'archive floods daemon 1 while rundown arrives at daemon 2 and daemon 3 is killed',
 	async function (this: FleetWorld) {
-		await replayBurst(this, () => end(this.running.daemons[2] as never));
+		await replayBurst(this, () => stopProcess(this.running.daemons[2] as never));
 	},
 );
 
@@ -124,7 +132,7 @@
 	const timelines: TimelineEvent[][] = [];
 	for (const [index, daemon] of world.running.daemons.entries()) {
 		if (daemon.child.exitCode === null && daemon.child.signalCode === null) {
-			const events = await world.running.control(index).events.query({ since: 0 });
+			const events = await world.running.createControlClient(index).events.query({ since: 0 });
 			timelines.push(events as TimelineEvent[]);
 		}
 	}
@@ -141,7 +149,7 @@
 		(world.cfg?.classes ?? []).map((item) => [item.name, item.deadline_ms]),
 	);
 	const engines = new Set(world.running.engines.map((engine) => engine.name));
-	return judge(events, deadlines, engines);
+	return checkTimeline(events, deadlines, engines);
 }
 
 cucumber.Then('nothing was shed or preempted for lower work', async function (this: FleetWorld) {
--- a/test/steps/lookups.steps.ts
+++ b/test/steps/lookups.steps.ts
@@ -4,7 +4,7 @@
  */
 import * as assert from 'node:assert/strict';
 import * as cucumber from '@cucumber/cucumber';
-import { seeded } from '../../bench/random.js';
+import { createRng } from '../../bench/random.js';
 import { CustomerKeyIndex } from '../../src/core/configuration/customer-key-index.js';
 import { hashToken } from '../../src/core/configuration/index.js';
 import { OwnerMap } from '../../src/core/membership/owner-map.js';
@@ -15,7 +15,7 @@
 cucumber.Then(
 	'after each of {int} changes of members every endpoint has the owner that scores highest',
 	(changes: number) => {
-		const rng = seeded(seed);
+		const rng = createRng(seed);
 		const keys = Array.from({ length: 40 }, (_, index) => `engine-${index}`);
 		const all = Array.from({ length: 12 }, (_, index) => `vm-${index}`);
 		const owners = new OwnerMap();
--- a/test/steps/operators.steps.ts
+++ b/test/steps/operators.steps.ts
@@ -21,7 +21,7 @@
 	'two operators change the deadline of chat at once through different daemons',
 	async function (this: FleetWorld) {
 		const change = (index: number, by: string, deadlineMs: number) =>
-			this.running.control(index).applyConfiguration.mutate({
+			this.running.createControlClient(index).applyConfiguration.mutate({
 				document: withChatDeadline(this, deadlineMs),
 				base: 1,
 				by,
@@ -45,7 +45,7 @@
 );
 
 cucumber.When('an operator changes the deadline of chat', async function (this: FleetWorld) {
-	const accepted = await this.running.control(0).applyConfiguration.mutate({
+	const accepted = await this.running.createControlClient(0).applyConfiguration.mutate({
 		document: withChatDeadline(this, 33_000),
 		base: 1,
 		by: 'ann',
@@ -63,7 +63,7 @@
 cucumber.Then(
 	'every daemon has version {int} in force',
 	async function (this: FleetWorld, version: number) {
-		await this.running.waitFor((status) => status.configuration_version === version);
+		await this.running.waitForStatus((status) => status.configuration_version === version);
 	},
 );
 
@@ -76,7 +76,7 @@
 		const endpoints = cfg.endpoints.map((endpoint) =>
 			endpoint.name === name ? { ...endpoint, state: 'drained' as const } : endpoint,
 		);
-		await this.running.apply({ ...cfg, endpoints });
+		await this.running.applyConfiguration({ ...cfg, endpoints });
 	},
 );
 
@@ -89,14 +89,14 @@
 		const endpoints = cfg.endpoints.map((endpoint) =>
 			endpoint.name === name ? { ...endpoint, slots, max_slots: slots } : endpoint,
 		);
-		await this.running.apply({ ...cfg, endpoints });
+		await this.running.applyConfiguration({ ...cfg, endpoints });
 	},
 );
 
 cucumber.Then(
 	'engine {int} never ran more than {int} requests at once',
 	async function (this: FleetWorld, engine: number, maxRequests: number) {
-		const stats = await this.running.stats<EngineStats>(this.running.engines[engine - 1]);
+		const stats = await this.running.fetchStats<EngineStats>(this.running.engines[engine - 1]);
 		assert.ok(stats.peakBatch <= maxRequests, String(stats.peakBatch));
 	},
 );
--- a/test/steps/replay.steps.ts
+++ b/test/steps/replay.steps.ts
@@ -8,7 +8,7 @@
 import * as path from 'node:path';
 import * as cucumber from '@cucumber/cucumber';
 import { lakeshore } from '../../bench/deployments.js';
-import { keyOf, peerToken } from '../../bench/fleet.js';
+import { customerApiKey, peerToken } from '../../bench/fleet.js';
 import { run } from './programs.steps.js';
 import type { FleetWorld } from './world.js';
 
@@ -24,7 +24,7 @@
 	const trace = path.join(dir, 'trace.jsonl');
 	const keys = path.join(dir, 'keys.json');
 	const results = path.join(dir, 'results.jsonl');
-	const keyEntries = lakeshore.customers.map(({ name }) => [name, keyOf(name)]);
+	const keyEntries = lakeshore.customers.map(({ name }) => [name, customerApiKey(name)]);
 	await fs.writeFile(trace, `${lines.join('\n')}\n`);
 	await fs.writeFile(keys, JSON.stringify(Object.fromEntries(keyEntries)));
 	const daemonArgs = world.running.daemonUrls.flatMap((url) => ['--to', url]);
--- a/test/steps/streams.steps.ts
+++ b/test/steps/streams.steps.ts
@@ -5,7 +5,7 @@
 import * as assert from 'node:assert/strict';
 import * as cucumber from '@cucumber/cucumber';
 import OpenAI from 'openai';
-import { end, keyOf } from '../../bench/fleet.js';
+import { customerApiKey, stopProcess } from '../../bench/fleet.js';
 import { wholeAnswer } from '../stand-ins/engine-text.js';
 import type { FleetWorld } from './world.js';
 
@@ -38,7 +38,7 @@
 	const urls = world.running.daemonUrls;
 	const client = new OpenAI({
 		baseURL: `${urls[index % urls.length]}/v1`,
-		apiKey: keyOf('listener-app'),
+		apiKey: customerApiKey('listener-app'),
 		maxRetries: 0,
 	});
 	try {
@@ -97,7 +97,7 @@
 	async function (this: FleetWorld, callers: number, tokens: number, engine: number) {
 		const proc = this.running.engines[engine - 1];
 		assert.ok(proc);
-		await streamAll(this, callers, tokens, () => end(proc));
+		await streamAll(this, callers, tokens, () => stopProcess(proc));
 	},
 );
 
@@ -105,7 +105,7 @@
 	'{int} callers stream answers of {int} tokens and engine {int} stalls midway',
 	async function (this: FleetWorld, callers: number, tokens: number, engine: number) {
 		const proc = this.running.engines[engine - 1];
-		await streamAll(this, callers, tokens, () => this.running.fault(proc, { stalled: true }));
+		await streamAll(this, callers, tokens, () => this.running.setFaults(proc, { stalled: true }));
 	},
 );
 
@@ -134,7 +134,7 @@
 	async function (this: FleetWorld, callers: number, tokens: number, vm: number) {
 		const proc = this.running.daemons[vm - 1];
 		assert.ok(proc);
-		await streamAll(this, callers, tokens, () => this.running.list(proc, 'leaving'));
+		await streamAll(this, callers, tokens, () => this.running.registerVm(proc, 'leaving'));
 		const ready = `http://127.0.0.1:${proc.port}/readyz`;
 		while ((await fetch(ready)).status === 200) {
 			await new Promise((wake) => setTimeout(wake, 50));
--- a/test/steps/world.ts
+++ b/test/steps/world.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import * as cucumber from '@cucumber/cucumber';
-import { configurationOf, lakeshore } from '../../bench/deployments.js';
+import { buildConfiguration, lakeshore } from '../../bench/deployments.js';
 import type { FleetOptions } from '../../bench/fleet.js';
 import { Fleet } from '../../bench/fleet.js';
 import type { Configuration } from '../../src/core/configuration/index.js';
@@ -28,9 +28,9 @@
 		this.fleet = fleet;
 		await fleet.startStandIns(engines, services);
 		await fleet.startDaemons();
-		this.cfg = configurationOf(lakeshore, fleet, policy);
-		await fleet.apply(this.cfg);
-		await fleet.waitFor((status) => status.members.length === daemons);
+		this.cfg = buildConfiguration(lakeshore, fleet, policy);
+		await fleet.applyConfiguration(this.cfg);
+		await fleet.waitForStatus((status) => status.members.length === daemons);
 		return fleet;
 	}
 
