--- a/bench/burst.ts
+++ b/bench/burst.ts
@@ -1,5 +1,6 @@
 /**
- * Bursts of both deployments, with and without a fault in mid-burst, policies side by side.
+ * Replays load bursts against a deployment under each policy, optionally with a fault injected
+ * during the burst.
  * @module
  */
 import * as fs from 'node:fs/promises';
@@ -13,25 +14,25 @@
 import type { TrafficStream } from './make-trace.js';
 import { makeTrace } from './make-trace.js';
 
-/** Engines of the burst: about 750 tokens a second each at 50 ms between tokens. */
-const burstEngine = { stepBaseMs: 10, stepEachMs: 1, maxBatch: 64 };
-/** Offered load of the steady classes and of the burst, for twelve engines. */
+const engineOptions = { stepBaseMs: 10, stepEachMs: 1, maxBatch: 64 };
 const burstFromMs = 3000;
 
 export async function runBurstBench(name: string, args: BenchArgs): Promise<void> {
 	const deployment = deployments[args.deployment];
 	if (!deployment) {
-		throw new Error(`no deployment is named ${args.deployment}`);
+		throw new Error(
+			`unknown deployment "${args.deployment}"; expected one of ${Object.keys(deployments).join(', ')}`,
+		);
 	}
 	for (const seed of args.seeds) {
 		for (const policy of args.policies) {
-			const result = await runOne(name, args, deployment, seed, policy);
-			await report({ bench: name, deployment: deployment.name, seed, policy }, args, result);
+			const result = await runPolicy(name, args, deployment, seed, policy);
+			await reportResult({ bench: name, deployment: deployment.name, seed, policy }, args, result);
 		}
 	}
 }
 
-function runOne(
+function runPolicy(
 	name: string,
 	args: BenchArgs,
 	deployment: Deployment,
@@ -44,7 +45,7 @@
 		deployment,
 		daemons: args.daemons,
 		engines: args.endpoints,
-		engineOptions: burstEngine,
+		engineOptions,
 		endpointOptions: { slots: 24, max_slots: 64 },
 		policy: { name: policy },
 		trace: makeTrace(deployment, streams, seed),
@@ -53,7 +54,10 @@
 	});
 }
 
-/** Twice the capacity in all; the two highest tiers alone fit. */
+/**
+ * Offers about twice the fleet's capacity, of which the two highest tiers alone fit.
+ * @param scale number of engines divided by 12, the fleet size that the rates are chosen for
+ */
 export function createBurstStreams(
 	deployment: Deployment,
 	scale: number,
@@ -141,12 +145,16 @@
 	];
 }
 
-async function report(labels: object, args: BenchArgs, result: ExperimentResult): Promise<void> {
+async function reportResult(
+	labels: object,
+	args: BenchArgs,
+	result: ExperimentResult,
+): Promise<void> {
 	const { classes, findings, findingsOfRest, ...totals } = result;
 	process.stdout.write(`\n${JSON.stringify(labels)}\n${formatTable(classes)}\n`);
 	process.stdout.write(`${JSON.stringify(totals)}\n${JSON.stringify(findings)}\n`);
 	if (findingsOfRest) {
-		process.stdout.write(`without the VM that was cut off: ${JSON.stringify(findingsOfRest)}\n`);
+		process.stdout.write(`excluding the isolated VM: ${JSON.stringify(findingsOfRest)}\n`);
 	}
 	if (args.out !== '') {
 		const line = { ...labels, daemons: args.daemons, endpoints: args.endpoints, ...result };
--- a/bench/control-cost.ts
+++ b/bench/control-cost.ts
@@ -1,6 +1,6 @@
 /**
- * What control costs a daemon as the fleet grows: bytes on the wire, processor time, memory and
- * calls to the key-value service, idle and under load; then a straight line through the figures.
+ * Measures the control-plane cost of a daemon against fleet size (network bytes, CPU time, memory,
+ * key-value store calls), idle and under load, and extrapolates it to the target fleet size.
  * @module
  */
 
@@ -13,18 +13,17 @@
 import { makeTrace } from './make-trace.js';
 import { writeResult } from './output.js';
 
-/** Engines for each daemon, as in the target (940 before 340). */
+/** Ratio of the target deployment: 940 engines, 340 daemons. */
 const enginesPerDaemon = 940 / 340;
-const engineProcesses = 8;
+const maxEngineProcesses = 8;
 const settleMs = 4000;
 const idleMs = 10_000;
 const loadMs = 10_000;
-/** Requests a second for each daemon under load; what one machine bears. */
-const perDaemon = 4;
-const target = 340;
+const requestsPerSPerDaemon = 4;
+const targetDaemons = 340;
 
-/** Cost of one daemon, the mean over the fleet. */
-interface Cost {
+/** Cost per daemon, averaged over the fleet. */
+interface ControlCost {
 	daemons: number;
 	phase: string;
 	policy: string;
@@ -42,11 +41,11 @@
 	policies: string[],
 	out: string,
 ): Promise<void> {
-	const idleRss = await idleRuntimeBytes();
-	const costs: Cost[] = [];
+	const idleRssBytes = await measureIdleRuntimeBytes();
+	const costs: ControlCost[] = [];
 	for (const daemons of sizes) {
 		for (const policy of policies) {
-			const measured = await measureSize(daemons, policy, idleRss);
+			const measured = await measureSize(daemons, policy, idleRssBytes);
 			for (const cost of measured) {
 				costs.push(cost);
 				await writeResult(out, { bench: 'control-cost', ...cost });
@@ -54,16 +53,20 @@
 			process.stdout.write(`${formatTable(measured)}\n`);
 		}
 	}
-	const fits = fitAll(costs, policies);
+	const fits = fitCosts(costs, policies);
 	process.stdout.write(`${formatTable(fits)}\n`);
-	await writeResult(out, { bench: 'control-cost-fit', target, fits });
+	await writeResult(out, { bench: 'control-cost-fit', target: targetDaemons, fits });
 }
 
-async function measureSize(daemons: number, policy: string, idleRss: number): Promise<Cost[]> {
+async function measureSize(
+	daemons: number,
+	policy: string,
+	idleRssBytes: number,
+): Promise<ControlCost[]> {
 	const fleet = new Fleet({ daemons, domains: lakeshore.domains });
 	try {
 		const engines = Math.ceil(daemons * enginesPerDaemon);
-		const processes = Math.min(engineProcesses, engines);
+		const processes = Math.min(maxEngineProcesses, engines);
 		const count = Math.ceil(engines / processes);
 		await fleet.startStandIns(
 			Array.from({ length: processes }, () => ({ count })),
@@ -75,9 +78,11 @@
 		await fleet.waitForStatus((status) => status.members.length === daemons, 60_000);
 		await sleep(settleMs);
 		const labels = { daemons, policy };
-		const idle = await phase(fleet, { ...labels, phase: 'idle' }, idleRss, () => sleep(idleMs));
-		const load = await phase(fleet, { ...labels, phase: 'load' }, idleRss, () =>
-			drive(fleet, daemons),
+		const idle = await measurePhase(fleet, { ...labels, phase: 'idle' }, idleRssBytes, () =>
+			sleep(idleMs),
+		);
+		const load = await measurePhase(fleet, { ...labels, phase: 'load' }, idleRssBytes, () =>
+			generateLoad(fleet, daemons),
 		);
 		return [idle, load];
 	} finally {
@@ -85,11 +90,11 @@
 	}
 }
 
-async function drive(fleet: Fleet, daemons: number): Promise<void> {
+async function generateLoad(fleet: Fleet, daemons: number): Promise<void> {
 	const stream: TrafficStream = {
 		class: 'chat',
 		customers: ['listener-app'],
-		requestsPerS: perDaemon * daemons,
+		requestsPerS: requestsPerSPerDaemon * daemons,
 		fromMs: 0,
 		untilMs: loadMs,
 		medianTokens: 20,
@@ -101,17 +106,17 @@
 	await client.replay(trace);
 }
 
-async function phase(
+async function measurePhase(
 	fleet: Fleet,
 	labels: { daemons: number; policy: string; phase: string },
-	idleRss: number,
+	idleRssBytes: number,
 	run: () => Promise<void>,
-): Promise<Cost> {
-	const before = await statuses(fleet);
-	const began = performance.now();
+): Promise<ControlCost> {
+	const before = await queryStatuses(fleet);
+	const startedAtMs = performance.now();
 	await run();
-	const seconds = (performance.now() - began) / 1000;
-	const after = await statuses(fleet);
+	const seconds = (performance.now() - startedAtMs) / 1000;
+	const after = await queryStatuses(fleet);
 	const rate = (value: (status: StatusReport) => number) =>
 		(mean(after, value) - mean(before, value)) / seconds;
 	const rss = mean(after, (status) => status.rss_bytes);
@@ -124,20 +129,20 @@
 		),
 		cpu_percent: round(rate((status) => status.cpu_ms) / 10),
 		rss_mb: round(rss / 1e6),
-		rss_over_idle_mb: round((rss - idleRss) / 1e6),
+		rss_over_idle_mb: round((rss - idleRssBytes) / 1e6),
 		kv_calls_s: round(rate((status) => status.kv_calls)),
 	};
 }
 
-async function statuses(fleet: Fleet): Promise<StatusReport[]> {
+async function queryStatuses(fleet: Fleet): Promise<StatusReport[]> {
 	const reads = [...fleet.daemons.keys()].map((index) =>
 		fleet.createControlClient(index).status.query(),
 	);
 	return Promise.all(reads);
 }
 
-/** Resident memory of a runtime that does nothing. */
-async function idleRuntimeBytes(): Promise<number> {
+/** Measures the resident memory of an idle Node.js process. */
+async function measureIdleRuntimeBytes(): Promise<number> {
 	const { rss, proc } = await spawnIdleRuntime();
 	proc.child.kill();
 	return rss;
@@ -149,12 +154,12 @@
 	what: string;
 	at_zero: number;
 	slope_per_daemon: number;
-	/** Root mean square distance of the figures from the line. */
+	/** Root mean square error of the fit. */
 	error: number;
 	at_target: number;
 }
 
-function fitAll(costs: readonly Cost[], policies: readonly string[]): Fit[] {
+function fitCosts(costs: readonly ControlCost[], policies: readonly string[]): Fit[] {
 	const fits: Fit[] = [];
 	const columns = [
 		'sent_bytes_s',
@@ -175,7 +180,7 @@
 	return fits;
 }
 
-/** Least squares. */
+/** Fits a line by ordinary least squares. */
 function fitLine(
 	points: readonly { x: number; y: number }[],
 ): Pick<Fit, 'at_zero' | 'slope_per_daemon' | 'error' | 'at_target'> {
@@ -190,7 +195,7 @@
 		at_zero: round(atZero),
 		slope_per_daemon: Math.round(slope * 10_000) / 10_000,
 		error: round(Math.sqrt(squares)),
-		at_target: round(atZero + slope * target),
+		at_target: round(atZero + slope * targetDaemons),
 	};
 }
 
--- a/bench/deployments.ts
+++ b/bench/deployments.ts
@@ -1,5 +1,5 @@
 /**
- * The two deployments of the brief, as configurations for benches.
+ * The two example deployments, as configurations for benchmarks and tests.
  * @module
  */
 import type { Configuration } from '../src/core/configuration/index.js';
@@ -8,7 +8,7 @@
 import type { Fleet } from './fleet.js';
 import { hashCustomerApiKey, peerToken } from './fleet.js';
 
-/** What one deployment fixes. */
+/** Classes, customers and failure domains of a deployment; the fleet supplies the endpoints. */
 export interface Deployment {
 	name: string;
 	domains: string[];
@@ -92,7 +92,10 @@
 
 export const deployments: Record<string, Deployment> = { lakeshore, dasom };
 
-/** Configuration of a deployment over a fleet's stand-ins. */
+/**
+ * Builds the configuration of a deployment whose endpoints are a fleet's stand-ins.
+ * @param engine fields that each engine's entry adds or overrides
+ */
 export function buildConfiguration(
 	deployment: Deployment,
 	fleet: Fleet,
@@ -129,7 +132,7 @@
 	});
 }
 
-/** Targets by class, for verdicts. */
+/** Returns the latency targets by class name. */
 export function getClassTargets(cfg: Configuration): Map<string, ClassTargets> {
 	return new Map(
 		cfg.classes.map((cls) => [
--- a/bench/experiment.ts
+++ b/bench/experiment.ts
@@ -1,6 +1,6 @@
 /**
- * One experiment: a fleet, a trace, a policy, perhaps a fault in mid-run; figures by class and
- * the oracle's verdict.
+ * Runs one experiment: replays a trace against a fleet under a policy, optionally injects a fault,
+ * and reports results by class together with the oracle's findings.
  * @module
  */
 import type { Configuration } from '../src/core/configuration/index.js';
@@ -17,25 +17,25 @@
 import type { Findings } from './oracle.js';
 import { checkTimeline } from './oracle.js';
 
-/** Time after the last request in which answers may still come, in milliseconds. */
-const tailMs = 130_000;
-/** Time between two reads of the daemons' events, in milliseconds. */
-const collectMs = 2000;
-/** The two highest tiers are judged for recovery. */
-const topTiers = 2;
-/** Long enough for the baseline, whose requests queue inside engines before their first token. */
+/** Exceeds the longest class deadline. */
+const replayTimeoutMs = 130_000;
+/** Short enough that the daemons' bounded event buffers do not overflow in between. */
+const collectIntervalMs = 2000;
+/** Recovery time counts requests of this tier and of those above it. */
+const maxRecoveryTier = 2;
+/** Allows for policies whose requests queue inside the engine before their first token. */
 const stallMs = 10_000;
-const recoveredShare = 0.95;
+const minAttainedShare = 0.95;
 
-/** A fault in mid-run. */
+/** A fault injected during a run. */
 export interface Fault {
 	name: string;
 	startMs: number;
-	/** VM that a cut sets apart. */
+	/** VM that the fault separates from all others. */
 	isolatedVm?: string;
 	begin: (fleet: Fleet) => Promise<void>;
-	/** Ends the fault, after `forMs`. */
 	durationMs?: number;
+	/** Ends the fault after `durationMs`; without it, the fault lasts until the run ends. */
 	end?: (fleet: Fleet) => Promise<void>;
 }
 
@@ -44,7 +44,7 @@
 	daemons: number;
 	engines: number;
 	engineOptions: Partial<EngineOptions>;
-	/** Starting slots and the like of each engine in the configuration. */
+	/** Fields that each engine's entry in the configuration adds or overrides. */
 	endpointOptions: object;
 	policy: object;
 	trace: TraceRequest[];
@@ -52,22 +52,22 @@
 	areDrillsEnabled?: boolean;
 }
 
-/** Figures of one experiment. */
 export interface ExperimentResult {
 	classes: ClassSummary[];
-	/** Tokens a second of answers that were whole before their deadline. */
+	/** Tokens per second of answers that completed before their deadline. */
 	goodput: number;
-	/** Tokens a second of answers that met all their targets. */
+	/** Tokens per second of answers that met all latency targets. */
 	goodputInTarget: number;
-	/** Tokens generated and of no use, in percent of those generated. */
+	/** Share of generated tokens that do not count towards goodput. */
 	wastedPercent: number;
-	/** Prompts whose prefix the engine still had, in percent. */
+	/** Share of prompts whose prefix the engine had cached. */
 	cacheHitPercent: number;
+	/** Answers that differ from the expected ones. */
 	wrong: number;
 	findings: Findings;
-	/** The same for the daemons that no cut set apart. */
+	/** Findings without the events of the isolated VM. */
 	findingsOfRest?: Findings;
-	/** Seconds from the fault until the top tiers are attained again; 0 without a dent. */
+	/** Seconds from the fault until the top tiers meet their targets again; 0 if they never missed them. */
 	recoveryS?: number;
 	daemonCpuPercent: number;
 	peerBytesPerS: number;
@@ -106,21 +106,25 @@
 	const keys = new Map(
 		cfg.customers.map((customer) => [customer.name, customerApiKey(customer.name)]),
 	);
-	const client = new ReplayClient({ daemonUrls: fleet.daemonUrls, keys, timeoutMs: tailMs });
+	const client = new ReplayClient({
+		daemonUrls: fleet.daemonUrls,
+		keys,
+		timeoutMs: replayTimeoutMs,
+	});
 	const collector = new EventCollector(fleet);
-	const before = await totals(fleet);
-	const began = Date.now();
-	const faulting = opts.fault ? inject(fleet, opts.fault) : Promise.resolve();
-	const collecting = setInterval(() => void collector.collect(), collectMs);
+	const before = await sumDaemonStatus(fleet);
+	const startedAtMs = Date.now();
+	const faultInjection = opts.fault ? injectFault(fleet, opts.fault) : Promise.resolve();
+	const collectTimer = setInterval(() => void collector.collect(), collectIntervalMs);
 	const results = await client.replay(opts.trace);
-	clearInterval(collecting);
-	await faulting;
+	clearInterval(collectTimer);
+	await faultInjection;
 	await collector.collect();
-	const elapsedS = (Date.now() - began) / 1000;
-	const after = await totals(fleet);
-	const engines = await engineTotals(fleet);
-	return figures(opts, cfg, results, collector.mergeEvents(), {
-		began,
+	const elapsedS = (Date.now() - startedAtMs) / 1000;
+	const after = await sumDaemonStatus(fleet);
+	const engines = await sumEngineStats(fleet);
+	return buildResult(opts, cfg, results, collector.mergeEvents(), {
+		startedAtMs,
 		...engines,
 		cpuPercent: (after.cpuMs - before.cpuMs) / elapsedS / 10 / opts.daemons,
 		bytesPerS: (after.bytes - before.bytes) / elapsedS / opts.daemons,
@@ -128,8 +132,8 @@
 	});
 }
 
-interface Measured {
-	began: number;
+interface Measurements {
+	startedAtMs: number;
 	generated: number;
 	cacheHitPercent: number;
 	cpuPercent: number;
@@ -137,12 +141,12 @@
 	kvCalls: number;
 }
 
-function figures(
+function buildResult(
 	opts: ExperimentOptions,
 	cfg: Configuration,
 	results: ReplayResult[],
 	events: TimelineEvent[],
-	measured: Measured,
+	measurements: Measurements,
 ): ExperimentResult {
 	const targets = getClassTargets(cfg);
 	const durationS = (opts.trace.at(-1)?.at_ms ?? 1000) / 1000;
@@ -158,22 +162,24 @@
 		classes: summarize(results, targets, durationS),
 		goodput: Math.round(usefulTokens / durationS),
 		goodputInTarget: Math.round(sumTokens(attained) / durationS),
-		wastedPercent: round((100 * (measured.generated - usefulTokens)) / measured.generated),
-		cacheHitPercent: measured.cacheHitPercent,
+		wastedPercent: round((100 * (measurements.generated - usefulTokens)) / measurements.generated),
+		cacheHitPercent: measurements.cacheHitPercent,
 		wrong: results.filter((result) => result.wrong).length,
 		findings: checkTimeline(events, deadlines, engines),
 		findingsOfRest:
 			opts.fault?.isolatedVm === undefined
 				? undefined
-				: checkTimeline(without(events, opts.fault.isolatedVm), deadlines, engines),
-		recoveryS: opts.fault && recovery(results, targets, measured.began + opts.fault.startMs),
-		daemonCpuPercent: round(measured.cpuPercent),
-		peerBytesPerS: Math.round(measured.bytesPerS),
-		kvCalls: measured.kvCalls,
+				: checkTimeline(excludeVm(events, opts.fault.isolatedVm), deadlines, engines),
+		recoveryS:
+			opts.fault &&
+			computeRecoveryS(results, targets, measurements.startedAtMs + opts.fault.startMs),
+		daemonCpuPercent: round(measurements.cpuPercent),
+		peerBytesPerS: Math.round(measurements.bytesPerS),
+		kvCalls: measurements.kvCalls,
 	};
 }
 
-function without(events: TimelineEvent[], vm: string): TimelineEvent[] {
+function excludeVm(events: TimelineEvent[], vm: string): TimelineEvent[] {
 	return events.filter((event) => event.vm !== vm);
 }
 
@@ -181,28 +187,30 @@
 	return results.reduce((sum, result) => sum + result.tokens, 0);
 }
 
-/** Requests of the top tiers by second: the last bad second after the fault. */
-function recovery(
+/** Returns the end of the last second after the fault in which too few top-tier requests met their targets. */
+function computeRecoveryS(
 	results: readonly ReplayResult[],
 	targets: ReadonlyMap<string, ClassTargets>,
-	faultAt: number,
+	faultAtMs: number,
 ): number {
 	const seconds = new Map<number, { all: number; attained: number }>();
 	for (const result of results) {
 		const target = targets.get(result.class) as ClassTargets;
-		const second = Math.floor((result.sentAt - faultAt) / 1000);
-		if (target.tier <= topTiers && second >= -2) {
-			const bin = seconds.get(second) ?? { all: 0, attained: 0 };
-			bin.all++;
-			bin.attained += isWithinTargets(result, target) ? 1 : 0;
-			seconds.set(second, bin);
+		const second = Math.floor((result.sentAt - faultAtMs) / 1000);
+		if (target.tier <= maxRecoveryTier && second >= -2) {
+			const bucket = seconds.get(second) ?? { all: 0, attained: 0 };
+			bucket.all++;
+			bucket.attained += isWithinTargets(result, target) ? 1 : 0;
+			seconds.set(second, bucket);
 		}
 	}
-	const bad = [...seconds].filter(([, bin]) => bin.attained < bin.all * recoveredShare);
-	return Math.max(0, ...bad.map(([second]) => second + 1));
+	const degraded = [...seconds].filter(
+		([, bucket]) => bucket.attained < bucket.all * minAttainedShare,
+	);
+	return Math.max(0, ...degraded.map(([second]) => second + 1));
 }
 
-async function inject(fleet: Fleet, fault: Fault): Promise<void> {
+async function injectFault(fleet: Fleet, fault: Fault): Promise<void> {
 	await sleep(fault.startMs);
 	await fault.begin(fleet);
 	if (fault.end) {
@@ -211,7 +219,9 @@
 	}
 }
 
-async function totals(fleet: Fleet): Promise<{ cpuMs: number; bytes: number; kvCalls: number }> {
+async function sumDaemonStatus(
+	fleet: Fleet,
+): Promise<{ cpuMs: number; bytes: number; kvCalls: number }> {
 	const sum = { cpuMs: 0, bytes: 0, kvCalls: 0 };
 	for (const index of fleet.daemons.keys()) {
 		try {
@@ -220,13 +230,15 @@
 			sum.bytes += status.peer_bytes_sent;
 			sum.kvCalls += status.kv_calls;
 		} catch {
-			// A daemon that was killed gives no figures.
+			// A killed daemon is left out of the sums.
 		}
 	}
 	return sum;
 }
 
-async function engineTotals(fleet: Fleet): Promise<{ generated: number; cacheHitPercent: number }> {
+async function sumEngineStats(
+	fleet: Fleet,
+): Promise<{ generated: number; cacheHitPercent: number }> {
 	let generated = 0;
 	let hits = 0;
 	let prompts = 0;
@@ -237,16 +249,16 @@
 			hits += stats.cacheHits;
 			prompts += stats.cacheHits + stats.cacheMisses;
 		} catch {
-			// An engine that was killed gives no figures; its tokens are not in the waste either.
+			// The tokens of a killed engine are unknown, and so is the waste.
 			generated = Number.NaN;
 		}
 	}
 	return { generated, cacheHitPercent: round((100 * hits) / prompts) };
 }
 
-/** Reads the daemons' events while they run, since their rings are bounded. */
+/** Polls the daemons' events during a run, because their event buffers are bounded. */
 class EventCollector {
-	private readonly seen = new Map<number, number>();
+	private readonly lastSeqs = new Map<number, number>();
 	private readonly events = new Map<number, TimelineEvent[]>();
 
 	constructor(private readonly fleet: Fleet) {}
@@ -261,20 +273,20 @@
 	}
 
 	private async collectOne(index: number): Promise<void> {
-		const since = this.seen.get(index) ?? 0;
+		const since = this.lastSeqs.get(index) ?? 0;
 		try {
-			const fresh = await this.fleet.createControlClient(index).events.query({ since });
-			const known = this.events.get(index) ?? [];
-			const last = known.at(-1)?.seq ?? 0;
-			for (const event of fresh as TimelineEvent[]) {
+			const newEvents = await this.fleet.createControlClient(index).events.query({ since });
+			const collected = this.events.get(index) ?? [];
+			const last = collected.at(-1)?.seq ?? 0;
+			for (const event of newEvents as TimelineEvent[]) {
 				if (event.seq > last) {
-					known.push(event);
+					collected.push(event);
 				}
 			}
-			this.events.set(index, known);
-			this.seen.set(index, known.at(-1)?.seq ?? since);
+			this.events.set(index, collected);
+			this.lastSeqs.set(index, collected.at(-1)?.seq ?? since);
 		} catch {
-			// A daemon that is gone or frozen is read again next time, if it comes back.
+			// The daemon is down or suspended; the next poll retries.
 		}
 	}
 }
--- a/bench/faults.ts
+++ b/bench/faults.ts
@@ -1,29 +1,29 @@
 /**
- * Faults in mid-burst.
+ * Faults that benchmarks inject during a burst, by benchmark name.
  * @module
  */
 import type { Fault } from './experiment.js';
 import type { Fleet } from './fleet.js';
 import { stopProcess } from './fleet.js';
 
-const atMs = 9000;
-const forMs = 5000;
-/** The daemon and the engine that faults are done to. */
-const victim = 2;
+const startMs = 9000;
+const durationMs = 5000;
+/** Index of the engine or daemon that a fault affects. */
+const targetIndex = 2;
 
 export const faults: Record<string, Fault> = {
 	'slow-endpoint': {
 		name: 'slow-endpoint',
-		startMs: atMs,
-		begin: (fleet) => fleet.setFaults(fleet.engines[victim], { slowFactor: 4 }),
-		durationMs: forMs,
-		end: (fleet) => fleet.setFaults(fleet.engines[victim], { slowFactor: 1 }),
+		startMs,
+		begin: (fleet) => fleet.setFaults(fleet.engines[targetIndex], { slowFactor: 4 }),
+		durationMs,
+		end: (fleet) => fleet.setFaults(fleet.engines[targetIndex], { slowFactor: 1 }),
 	},
 	'dead-endpoint': {
 		name: 'dead-endpoint',
-		startMs: atMs,
+		startMs,
 		begin: async (fleet) => {
-			const engine = fleet.engines[victim];
+			const engine = fleet.engines[targetIndex];
 			if (engine) {
 				await stopProcess(engine);
 			}
@@ -31,9 +31,9 @@
 	},
 	'dead-daemon': {
 		name: 'dead-daemon',
-		startMs: atMs,
+		startMs,
 		begin: async (fleet) => {
-			const daemon = fleet.daemons[victim];
+			const daemon = fleet.daemons[targetIndex];
 			if (daemon) {
 				await stopProcess(daemon);
 			}
@@ -41,32 +41,32 @@
 	},
 	'frozen-daemon': {
 		name: 'frozen-daemon',
-		startMs: atMs,
+		startMs,
 		begin: async (fleet) => {
-			fleet.daemons[victim]?.child.kill('SIGSTOP');
+			fleet.daemons[targetIndex]?.child.kill('SIGSTOP');
 		},
-		durationMs: forMs,
+		durationMs,
 		end: async (fleet) => {
-			fleet.daemons[victim]?.child.kill('SIGCONT');
+			fleet.daemons[targetIndex]?.child.kill('SIGCONT');
 		},
 	},
 	'cut-daemon': {
 		name: 'cut-daemon',
-		isolatedVm: `vm-${victim + 1}`,
-		startMs: atMs,
-		begin: (fleet) => cut(fleet, true),
-		durationMs: forMs,
-		end: (fleet) => cut(fleet, false),
+		isolatedVm: `vm-${targetIndex + 1}`,
+		startMs,
+		begin: (fleet) => setIsolated(fleet, true),
+		durationMs,
+		end: (fleet) => setIsolated(fleet, false),
 	},
 };
 
-/** Cuts one daemon off from all others, both ways. */
-async function cut(fleet: Fleet, on: boolean): Promise<void> {
+/** Blocks or restores peer traffic between the target daemon and all others, in both directions. */
+async function setIsolated(fleet: Fleet, isIsolated: boolean): Promise<void> {
 	const names = fleet.daemons.map((daemon) => daemon.name);
-	const cutOff = names[victim] ?? '';
-	const calls = names.map((name, index) => {
-		const peers = name === cutOff ? names.filter((other) => other !== name) : [cutOff];
-		return fleet.createControlClient(index).cutPeers.mutate({ peers: on ? peers : [] });
+	const isolatedVm = names[targetIndex] ?? '';
+	const updates = names.map((name, index) => {
+		const peers = name === isolatedVm ? names.filter((other) => other !== name) : [isolatedVm];
+		return fleet.createControlClient(index).cutPeers.mutate({ peers: isIsolated ? peers : [] });
 	});
-	await Promise.all(calls);
+	await Promise.all(updates);
 }
--- a/bench/fleet.ts
+++ b/bench/fleet.ts
@@ -1,5 +1,6 @@
 /**
- * Starts stand-ins and daemons as separate processes on loopback, and ends them by id.
+ * Runs a fleet of daemons with stand-in engines, services and platform as separate processes on
+ * loopback.
  * @module
  */
 import * as childProcess from 'node:child_process';
@@ -15,30 +16,32 @@
 import type { EngineOptions } from '../test/stand-ins/engine.js';
 
 const root = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '..');
-const daemonMain = path.join(root, 'src/daemon/main.js');
-const standInMain = path.join(root, 'test/stand-ins/main.js');
-/** Secret of the daemons of one fleet; loopback only. */
+const daemonPath = path.join(root, 'src/daemon/main.js');
+const standInPath = path.join(root, 'test/stand-ins/main.js');
+/** Shared secret of the daemons, also accepted as the operators' token. */
 export const peerToken = 'bench-peer-token-0123456789';
 const startTimeoutMs = 20_000;
 
 /** Options of one engine process, which may hold several engines. */
 export type EngineProcessOptions = Partial<EngineOptions> & { count?: number };
 
-/** A stand-in or daemon that runs. */
+/** A running stand-in or daemon. */
 export interface ManagedProcess {
 	name: string;
 	child: childProcess.ChildProcess;
 	port: number;
-	/** Daemons only. */
+	/** 0 unless the process is a daemon. */
 	controlPort: number;
+	/** Failure domain; empty unless the process is a daemon. */
 	domain: string;
+	/** Lines that the process has written to standard output. */
 	lines: string[];
 }
 
 export interface FleetOptions {
 	daemons: number;
 	domains: string[];
-	/** Extra TOML lines for each daemon's settings, by table. */
+	/** Returns TOML tables to append to a daemon's settings. */
 	settings?: (index: number) => string;
 }
 
@@ -47,8 +50,8 @@
 	readonly engines: ManagedProcess[] = [];
 	readonly services: ManagedProcess[] = [];
 	platform?: ManagedProcess;
-	private dir = '';
-	private version = 0;
+	private tempDir = '';
+	private configurationVersion = 0;
 
 	constructor(private readonly opts: FleetOptions) {}
 
@@ -60,16 +63,16 @@
 		return this.daemons.map((daemon) => `http://127.0.0.1:${daemon.port}`);
 	}
 
-	/** Starts platform, engines and services; daemons follow with `startDaemons`. */
+	/** Starts the platform, engines and services; `startDaemons` starts the daemons. */
 	async startStandIns(engines: EngineProcessOptions[], services: number): Promise<void> {
-		this.dir = await fs.mkdtemp(path.join(os.tmpdir(), 'slategauge-'));
-		this.platform = (await this.standIn('platform', 'platform'))[0];
+		this.tempDir = await fs.mkdtemp(path.join(os.tmpdir(), 'slategauge-'));
+		this.platform = (await this.startStandIn('platform', 'platform'))[0];
 		const started = engines.map((opts, index) =>
-			this.standIn(`engine-${index + 1}`, 'engine', JSON.stringify(opts)),
+			this.startStandIn(`engine-${index + 1}`, 'engine', JSON.stringify(opts)),
 		);
 		this.engines.push(...(await Promise.all(started)).flat());
 		for (let index = 0; index < services; index++) {
-			this.services.push(...(await this.standIn(`service-${index + 1}`, 'service')));
+			this.services.push(...(await this.startStandIn(`service-${index + 1}`, 'service')));
 		}
 	}
 
@@ -78,14 +81,14 @@
 		await Promise.all(indexes.map((index) => this.startDaemon(index)));
 	}
 
-	/** Starts daemon `index`, again after it was ended. */
+	/** Starts or restarts the daemon at `index`. */
 	async startDaemon(index: number): Promise<ManagedProcess> {
 		const id = `vm-${index + 1}`;
 		const domain = this.opts.domains[index % this.opts.domains.length] ?? 'hall';
-		const file = path.join(this.dir, `${id}.toml`);
-		await fs.writeFile(file, this.settingsText(index, id, domain));
-		const proc = spawn(id, [daemonMain, 'run', file]);
-		const line = await firstLine(proc, 'event=daemon.listening');
+		const file = path.join(this.tempDir, `${id}.toml`);
+		await fs.writeFile(file, this.formatSettings(index, id, domain));
+		const proc = spawn(id, [daemonPath, 'run', file]);
+		const line = await waitForLine(proc, 'event=daemon.listening');
 		proc.port = Number(/callers_port=(\d+)/.exec(line)?.[1]);
 		proc.controlPort = Number(/control_port=(\d+)/.exec(line)?.[1]);
 		this.daemons[index] = proc;
@@ -94,7 +97,7 @@
 		return proc;
 	}
 
-	/** Puts a daemon into the platform's list. */
+	/** Registers a daemon in the platform's VM list. */
 	async registerVm(proc: ManagedProcess, state: 'live' | 'leaving'): Promise<void> {
 		await this.post(this.platformUrl, '/vms', {
 			id: proc.name,
@@ -110,73 +113,81 @@
 		return createControlClient(`127.0.0.1:${this.daemons[index]?.controlPort}`, peerToken);
 	}
 
-	/** Applies a configuration and waits until every daemon has it in force. */
+	/** Applies a configuration and waits until it is in force on every daemon. */
 	async applyConfiguration(document: Configuration): Promise<void> {
 		const client = this.createControlClient(0);
 		const accepted = await client.applyConfiguration.mutate({
 			document,
-			base: this.version,
+			base: this.configurationVersion,
 			by: 'bench',
 		});
-		this.version = accepted.version;
-		await this.waitForStatus(async (status) => status.configuration_version >= this.version);
+		this.configurationVersion = accepted.version;
+		await this.waitForStatus(
+			async (status) => status.configuration_version >= this.configurationVersion,
+		);
 	}
 
-	/** Waits until the status of every daemon passes. */
+	/** Waits until the status of every daemon satisfies the predicate; throws on timeout. */
 	async waitForStatus(
-		passes: (
+		predicate: (
 			status: Awaited<ReturnType<ControlClient['status']['query']>>,
 		) => Promise<boolean> | boolean,
 		timeoutMs = 20_000,
 	): Promise<void> {
-		const until = Date.now() + timeoutMs;
+		const deadline = Date.now() + timeoutMs;
 		for (const index of this.daemons.keys()) {
-			while (!(await this.passes(index, passes))) {
-				if (Date.now() > until) {
-					throw new Error(`daemon ${index + 1} did not get there in time`);
+			while (!(await this.checkStatus(index, predicate))) {
+				if (Date.now() > deadline) {
+					throw new Error(
+						`daemon ${index + 1} did not reach the expected status within ${timeoutMs} ms`,
+					);
 				}
 				await sleep(50);
 			}
 		}
 	}
 
-	/** Sets faults of a stand-in. */
+	/** Configures the faults that a stand-in simulates. */
 	async setFaults(proc: ManagedProcess | undefined, faults: object): Promise<void> {
 		await this.post(`http://127.0.0.1:${proc?.port}`, '/control', faults);
 	}
 
-	async fetchStats<T>(proc: ManagedProcess | undefined, at = '/stats'): Promise<T> {
-		const res = await fetch(`http://127.0.0.1:${proc?.port}${at}`);
+	async fetchStats<T>(proc: ManagedProcess | undefined, urlPath = '/stats'): Promise<T> {
+		const res = await fetch(`http://127.0.0.1:${proc?.port}${urlPath}`);
 		return (await res.json()) as T;
 	}
 
-	/** Ends every process that this fleet started. */
+	/** Kills all processes of this fleet and removes its settings files. */
 	async stop(): Promise<void> {
 		const all = [...this.daemons, ...this.engines, ...this.services];
 		if (this.platform) {
 			all.push(this.platform);
 		}
 		await Promise.all(all.map((proc) => stopProcess(proc)));
-		await fs.rm(this.dir, { recursive: true, force: true });
+		await fs.rm(this.tempDir, { recursive: true, force: true });
 	}
 
-	private async passes(
+	private async checkStatus(
 		index: number,
-		passes: (
+		predicate: (
 			status: Awaited<ReturnType<ControlClient['status']['query']>>,
 		) => Promise<boolean> | boolean,
 	): Promise<boolean> {
 		try {
-			return await passes(await this.createControlClient(index).status.query());
+			return await predicate(await this.createControlClient(index).status.query());
 		} catch {
 			return false;
 		}
 	}
 
-	/** One entry for each port; several engines may share a process. */
-	private async standIn(name: string, kind: string, options = '{}'): Promise<ManagedProcess[]> {
-		const proc = spawn(name, [standInMain, kind, options]);
-		const line = await firstLine(proc, 'ports=');
+	/** Returns one entry per port, since several engines may share a process. */
+	private async startStandIn(
+		name: string,
+		kind: string,
+		options = '{}',
+	): Promise<ManagedProcess[]> {
+		const proc = spawn(name, [standInPath, kind, options]);
+		const line = await waitForLine(proc, 'ports=');
 		const ports = line.slice('ports='.length).split(',').map(Number);
 		return ports.map((port, index) => ({
 			...proc,
@@ -185,11 +196,11 @@
 		}));
 	}
 
-	private async post(base: string, at: string, body: object): Promise<void> {
-		await fetch(`${base}${at}`, { method: 'POST', body: JSON.stringify(body) });
+	private async post(base: string, urlPath: string, body: object): Promise<void> {
+		await fetch(`${base}${urlPath}`, { method: 'POST', body: JSON.stringify(body) });
 	}
 
-	private settingsText(index: number, id: string, domain: string): string {
+	private formatSettings(index: number, id: string, domain: string): string {
 		return [
 			'[vm]',
 			`id = "${id}"`,
@@ -210,17 +221,16 @@
 	}
 }
 
-/** Bearer key of a customer of a bench. */
 export function customerApiKey(customer: string): string {
 	return `key-of-${customer}`;
 }
 
-/** Hash of a customer's key, as the configuration keeps it. */
+/** Hashes a customer's API key as the configuration stores it. */
 export function hashCustomerApiKey(customer: string): string {
 	return hashToken(customerApiKey(customer));
 }
 
-/** Ends a process and waits until it is gone. */
+/** Signals a process and waits until it exits. */
 export async function stopProcess(
 	proc: ManagedProcess,
 	signal: NodeJS.Signals = 'SIGKILL',
@@ -229,31 +239,30 @@
 		return;
 	}
 	proc.child.setMaxListeners(0);
-	const gone = new Promise((done) => proc.child.once('exit', done));
+	const exited = new Promise((done) => proc.child.once('exit', done));
 	proc.child.kill(signal);
-	await gone;
+	await exited;
 }
 
 export function sleep(ms: number): Promise<void> {
 	return new Promise((done) => setTimeout(done, ms));
 }
 
-/** Program of the bare relay. */
 export const bareRelayPath = path.join(root, 'bench/relay.js');
 
-/** Starts a program that prints its port. */
+/** Starts a program that prints its port as `ports=PORT`. */
 export async function spawnWithPort(name: string, args: string[]): Promise<ManagedProcess> {
 	const proc = spawn(name, args);
-	const line = await firstLine(proc, 'ports=');
+	const line = await waitForLine(proc, 'ports=');
 	proc.port = Number(line.slice('ports='.length));
 	return proc;
 }
 
-/** Starts a runtime that does nothing, and its resident bytes. */
+/** Starts an idle Node.js process and returns its resident memory in bytes. */
 export async function spawnIdleRuntime(): Promise<{ proc: ManagedProcess; rss: number }> {
 	const program = 'setInterval(() => {}, 1e6); console.log("rss=" + process.memoryUsage.rss())';
 	const proc = spawn('idle', ['-e', program]);
-	const line = await firstLine(proc, 'rss=');
+	const line = await waitForLine(proc, 'rss=');
 	return { proc, rss: Number(line.slice('rss='.length)) };
 }
 
@@ -264,10 +273,10 @@
 	return proc;
 }
 
-async function firstLine(proc: ManagedProcess, part: string): Promise<string> {
-	const until = Date.now() + startTimeoutMs;
-	while (Date.now() < until) {
-		const line = proc.lines.find((known) => known.includes(part));
+async function waitForLine(proc: ManagedProcess, text: string): Promise<string> {
+	const deadline = Date.now() + startTimeoutMs;
+	while (Date.now() < deadline) {
+		const line = proc.lines.find((line) => line.includes(text));
 		if (line !== undefined) {
 			return line;
 		}
--- a/bench/hot-path.ts
+++ b/bench/hot-path.ts
@@ -1,5 +1,5 @@
 /**
- * What a daemon adds over a direct call, beside a bare relay, all in one run.
+ * Measures the latency and CPU cost of a daemon against direct calls and against a minimal relay.
  * @module
  */
 import * as hdr from 'hdr-histogram-js';
@@ -9,20 +9,20 @@
 import { bareRelayPath, customerApiKey, Fleet, spawnWithPort } from './fleet.js';
 import { writeResult } from './output.js';
 
-/** One request after the other, for latency. */
+/** Sequential requests per path in the latency measurement. */
 const latencyRounds = 1500;
-const warmUp = 300;
-/** Streams at once, for throughput. */
-const streams = 256;
+const warmUpRounds = 300;
+/** Concurrent streams in the throughput measurement. */
+const concurrentStreams = 256;
 const streamTokens = 300;
 const throughputRounds = 2;
-const engines = 4;
-const microseconds = 1000;
+const engineCount = 4;
+const microsPerMs = 1000;
 
-interface Path {
+interface MeasuredPath {
 	name: string;
 	url: string;
-	/** Processor milliseconds used so far. */
+	/** Returns the CPU time that the process has used, in milliseconds. */
 	cpuMs: () => Promise<number>;
 }
 
@@ -30,7 +30,7 @@
 	const fleet = new Fleet({ daemons: 1, domains: lakeshore.domains });
 	const engine = { stepBaseMs: 1, stepEachMs: 0, maxBatch: 256 };
 	await fleet.startStandIns(
-		Array.from({ length: engines }, () => engine),
+		Array.from({ length: engineCount }, () => engine),
 		0,
 	);
 	const relay = await spawnWithPort('relay', [
@@ -43,7 +43,7 @@
 		const policy = { name: 'granted', learn_limits: false };
 		const cfg = buildConfiguration(lakeshore, fleet, policy, endpoint);
 		await fleet.applyConfiguration({ ...cfg, endpoints: cfg.endpoints.slice(0, 1) });
-		const paths: Path[] = [
+		const paths: MeasuredPath[] = [
 			{ name: 'direct', url: `http://127.0.0.1:${fleet.engines[0]?.port}`, cpuMs: async () => 0 },
 			{
 				name: 'bare relay',
@@ -65,32 +65,32 @@
 	}
 }
 
-async function measureAll(paths: Path[]): Promise<object[]> {
-	const firsts = await latencies(paths);
+async function measureAll(paths: MeasuredPath[]): Promise<object[]> {
+	const histograms = await measureLatencies(paths);
 	const rows: object[] = [];
 	for (const path of paths) {
-		const load = await throughput(path);
-		const first = firsts.get(path.name);
+		const load = await measureThroughput(path);
+		const histogram = histograms.get(path.name);
 		rows.push({
 			path: path.name,
-			first_token_p50_ms: micros(first, 50),
-			first_token_p99_ms: micros(first, 99),
+			first_token_p50_ms: percentileMs(histogram, 50),
+			first_token_p99_ms: percentileMs(histogram, 99),
 			...load,
 		});
 	}
 	return rows;
 }
 
-/** The paths take turns, so that noise hits all alike. */
-async function latencies(paths: Path[]): Promise<Map<string, hdr.Histogram>> {
+/** Alternates between the paths, so that noise affects all of them equally. */
+async function measureLatencies(paths: MeasuredPath[]): Promise<Map<string, hdr.Histogram>> {
 	const pools = new Map(paths.map((path) => [path.name, new undici.Pool(path.url)]));
 	const histograms = new Map(paths.map((path) => [path.name, hdr.build()]));
-	for (let round = 0; round < latencyRounds + warmUp; round++) {
+	for (let round = 0; round < latencyRounds + warmUpRounds; round++) {
 		for (const path of paths) {
-			const began = performance.now();
-			const first = await firstChunkAt(pools.get(path.name) as undici.Pool, 2);
-			if (round >= warmUp) {
-				histograms.get(path.name)?.recordValue((first - began) * microseconds);
+			const startedAtMs = performance.now();
+			const firstAtMs = await timeFirstChunk(pools.get(path.name) as undici.Pool, 2);
+			if (round >= warmUpRounds) {
+				histograms.get(path.name)?.recordValue((firstAtMs - startedAtMs) * microsPerMs);
 			}
 		}
 	}
@@ -98,26 +98,26 @@
 	return histograms;
 }
 
-async function firstChunkAt(pool: undici.Pool, tokens: number): Promise<number> {
-	const res = await pool.request(requestOf(tokens));
-	let first = 0;
+async function timeFirstChunk(pool: undici.Pool, tokens: number): Promise<number> {
+	const res = await pool.request(buildRequest(tokens));
+	let firstAtMs = 0;
 	for await (const _chunk of res.body) {
-		first ||= performance.now();
+		firstAtMs ||= performance.now();
 	}
-	return first;
+	return firstAtMs;
 }
 
-/** Many streams at once until the path is busy. */
-async function throughput(path: Path): Promise<object> {
-	const pool = new undici.Pool(path.url, { connections: streams });
+/** Measures throughput and CPU cost with many concurrent streams. */
+async function measureThroughput(path: MeasuredPath): Promise<object> {
+	const pool = new undici.Pool(path.url, { connections: concurrentStreams });
 	await runStreams(pool, 1, 20);
 	const cpuBefore = await path.cpuMs();
-	const began = performance.now();
+	const startedAtMs = performance.now();
 	const tokens = await runStreams(pool, throughputRounds, streamTokens);
-	const seconds = (performance.now() - began) / 1000;
+	const seconds = (performance.now() - startedAtMs) / 1000;
 	const cpuMs = (await path.cpuMs()) - cpuBefore;
 	await pool.destroy();
-	const requests = streams * throughputRounds;
+	const requests = concurrentStreams * throughputRounds;
 	return {
 		tokens_per_s: Math.round(tokens / seconds),
 		requests_per_s: Math.round(requests / seconds),
@@ -127,17 +127,17 @@
 }
 
 async function runStreams(pool: undici.Pool, rounds: number, tokens: number): Promise<number> {
-	const one = async () => {
+	const runStream = async () => {
 		for (let round = 0; round < rounds; round++) {
-			const res = await pool.request(requestOf(tokens));
+			const res = await pool.request(buildRequest(tokens));
 			await res.body.dump({ limit: Number.MAX_SAFE_INTEGER });
 		}
 	};
-	await Promise.all(Array.from({ length: streams }, one));
-	return streams * rounds * tokens;
+	await Promise.all(Array.from({ length: concurrentStreams }, runStream));
+	return concurrentStreams * rounds * tokens;
 }
 
-function requestOf(tokens: number): undici.Dispatcher.RequestOptions {
+function buildRequest(tokens: number): undici.Dispatcher.RequestOptions {
 	return {
 		method: 'POST',
 		path: '/v1/chat/completions',
@@ -153,8 +153,8 @@
 	};
 }
 
-function micros(histogram: hdr.Histogram | undefined, percentile: number): number {
-	return round((histogram?.getValueAtPercentile(percentile) ?? 0) / microseconds);
+function percentileMs(histogram: hdr.Histogram | undefined, percentile: number): number {
+	return round((histogram?.getValueAtPercentile(percentile) ?? 0) / microsPerMs);
 }
 
 function round(value: number): number {
--- a/bench/kv.ts
+++ b/bench/kv.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to the key-value service against the fleet's size: idle, with configuration changes, and
- * at the end of an outage.
+ * Measures the rate of key-value store calls against fleet size: idle, during configuration updates
+ * and after an outage.
  * @module
  */
 
@@ -13,22 +13,22 @@
 const idleMs = 25_000;
 const outageMs = 10_000;
 const afterOutageMs = 5000;
-/** Changes made in a row, to measure how long one takes to be in force everywhere. */
-const changes = 5;
-const changesADay = 1300;
-const secondsADay = 86_400;
+/** Configuration updates applied one after the other. */
+const changeCount = 5;
+const changesPerDay = 1300;
+const secondsPerDay = 86_400;
 
 export async function runKvBench(sizes: number[], out: string): Promise<void> {
 	const rows: object[] = [];
 	for (const daemons of sizes) {
-		const row = await measure(daemons);
+		const row = await measureSize(daemons);
 		rows.push(row);
 		await writeResult(out, { bench: 'kv', ...row });
 	}
 	process.stdout.write(`${formatTable(rows)}\n`);
 }
 
-async function measure(daemons: number): Promise<object> {
+async function measureSize(daemons: number): Promise<object> {
 	const fleet = new Fleet({ daemons, domains: lakeshore.domains });
 	try {
 		await fleet.startStandIns([{}, {}], 1);
@@ -37,18 +37,18 @@
 		await fleet.applyConfiguration(cfg);
 		await fleet.waitForStatus((status) => status.members.length === daemons, 60_000);
 		await sleep(3000);
-		const idle = await callsDuring(fleet, () => sleep(idleMs));
+		const idle = await countCalls(fleet, () => sleep(idleMs));
 		const change = await measureChanges(fleet, cfg);
 		const outage = await measureOutage(fleet);
 		return {
 			daemons,
 			idle_calls_s: round(idle / (idleMs / 1000)),
-			calls_a_change: round(change.calls / changes),
+			calls_a_change: round(change.calls / changeCount),
 			calls_s_at_1300_changes_a_day: round(
-				idle / (idleMs / 1000) + ((change.calls / changes) * changesADay) / secondsADay,
+				idle / (idleMs / 1000) + ((change.calls / changeCount) * changesPerDay) / secondsPerDay,
 			),
-			in_force_everywhere_max_ms: Math.round(change.slowestMs),
-			calls_in_second_after_outage: outage.firstSecond,
+			in_force_everywhere_max_ms: Math.round(change.maxApplyMs),
+			calls_in_second_after_outage: outage.firstSecondCalls,
 			calls_s_after_outage: round(outage.calls / (afterOutageMs / 1000)),
 		};
 	} finally {
@@ -59,37 +59,37 @@
 async function measureChanges(
 	fleet: Fleet,
 	cfg: Configuration,
-): Promise<{ calls: number; slowestMs: number }> {
-	let slowestMs = 0;
-	const calls = await callsDuring(fleet, async () => {
-		for (let change = 0; change < changes; change++) {
-			const began = performance.now();
+): Promise<{ calls: number; maxApplyMs: number }> {
+	let maxApplyMs = 0;
+	const calls = await countCalls(fleet, async () => {
+		for (let change = 0; change < changeCount; change++) {
+			const startedAtMs = performance.now();
 			const classes = cfg.classes.map((cls) => ({
 				...cls,
 				deadline_ms: cls.deadline_ms + change + 1,
 			}));
 			await fleet.applyConfiguration({ ...cfg, classes });
-			slowestMs = Math.max(slowestMs, performance.now() - began);
+			maxApplyMs = Math.max(maxApplyMs, performance.now() - startedAtMs);
 			await sleep(500);
 		}
 	});
-	return { calls, slowestMs };
+	return { calls, maxApplyMs };
 }
 
-async function measureOutage(fleet: Fleet): Promise<{ calls: number; firstSecond: number }> {
+async function measureOutage(fleet: Fleet): Promise<{ calls: number; firstSecondCalls: number }> {
 	await fleet.setFaults(fleet.platform, { down: true });
 	await sleep(outageMs);
 	await fleet.setFaults(fleet.platform, { down: false });
-	let firstSecond = 0;
-	const calls = await callsDuring(fleet, async () => {
-		firstSecond = await callsDuring(fleet, () => sleep(1000));
+	let firstSecondCalls = 0;
+	const calls = await countCalls(fleet, async () => {
+		firstSecondCalls = await countCalls(fleet, () => sleep(1000));
 		await sleep(afterOutageMs - 1000);
 	});
-	return { calls, firstSecond };
+	return { calls, firstSecondCalls };
 }
 
-/** Calls that the platform's stand-in counted. */
-async function callsDuring(fleet: Fleet, run: () => Promise<void>): Promise<number> {
+/** Counts the store calls that the platform stand-in receives during `run`. */
+async function countCalls(fleet: Fleet, run: () => Promise<void>): Promise<number> {
 	const before = await fleet.fetchStats<{ calls: number }>(fleet.platform);
 	await run();
 	const after = await fleet.fetchStats<{ calls: number }>(fleet.platform);
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run bench -- NAME`: experiments on real processes over loopback.
+ * Command line of the benchmarks, `npm run bench -- NAME`.
  * @module
  */
 import yargs from 'yargs';
@@ -11,7 +11,6 @@
 import { runLimitsBench } from './limits.js';
 import { runMessageCostBench } from './message-cost.js';
 
-/** Options of every bench. */
 export interface BenchArgs {
 	daemons: number;
 	endpoints: number;
@@ -20,7 +19,7 @@
 	deployment: string;
 	seconds: number;
 	out: string;
-	/** Fleet sizes, for benches that vary them. */
+	/** Numbers of daemons, for benchmarks that vary the fleet size. */
 	sizes: number[];
 }
 
@@ -31,7 +30,7 @@
 	'dead-daemon': (args) => runBurstBench('dead-daemon', args),
 	'frozen-daemon': (args) => runBurstBench('frozen-daemon', args),
 	'cut-daemon': (args) => runBurstBench('cut-daemon', args),
-	fleet: fleetBench,
+	fleet: runFleetBench,
 	'hot-path': (args) => runHotPathBench(args.out),
 	'control-cost': (args) => runControlCostBench(args.sizes, args.policies, args.out),
 	'message-cost': (args) => runMessageCostBench(args.out),
@@ -48,9 +47,13 @@
 	.option('seed', { type: 'number', array: true, default: [1, 2, 3] })
 	.option('policy', { type: 'string', array: true, default: ['independent', 'granted'] })
 	.option('deployment', { type: 'string', default: 'lakeshore' })
-	.option('seconds', { type: 'number', default: 20, describe: 'length of the trace' })
+	.option('seconds', { type: 'number', default: 20, describe: 'length of the trace in seconds' })
 	.option('sizes', { type: 'number', array: true, default: [3, 9, 18, 36] })
-	.option('out', { type: 'string', default: '', describe: 'file for JSON lines' })
+	.option('out', {
+		type: 'string',
+		default: '',
+		describe: 'file to append results to, as JSON lines',
+	})
 	.demandCommand(1, `expected one of ${Object.keys(benches).join(', ')}`)
 	.strictOptions()
 	.parseAsync();
@@ -58,13 +61,15 @@
 const name = String(args._[0]);
 const bench = benches[name];
 if (!bench) {
-	process.stderr.write(`no bench is named ${name}; known: ${Object.keys(benches).join(', ')}\n`);
+	process.stderr.write(
+		`unknown benchmark "${name}"; expected one of ${Object.keys(benches).join(', ')}\n`,
+	);
 	process.exit(64);
 }
 await bench({ ...args, seeds: args.seed, policies: args.policy });
 
-/** The same load before the same endpoints, with more and more daemons. */
-async function fleetBench(args: BenchArgs): Promise<void> {
+/** Runs the same load on the same endpoints with each number of daemons. */
+async function runFleetBench(args: BenchArgs): Promise<void> {
 	for (const daemons of args.sizes) {
 		await runBurstBench('fleet', { ...args, daemons });
 	}
--- a/bench/make-fixtures.ts
+++ b/bench/make-fixtures.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the traces that the repository keeps: `node dist/bench/make-fixtures.js`.
+ * Regenerates the trace fixtures: `node dist/bench/make-fixtures.js`.
  * @module
  */
 import * as fs from 'node:fs/promises';
@@ -7,7 +7,7 @@
 import { makeTrace } from './make-trace.js';
 
 const morningMs = 12_000;
-const span = { fromMs: 0, untilMs: morningMs };
+const interval = { fromMs: 0, untilMs: morningMs };
 
 const morning = makeTrace(
 	lakeshore,
@@ -18,7 +18,7 @@
 			requestsPerS: 2,
 			medianTokens: 60,
 			stream: true,
-			...span,
+			...interval,
 		},
 		{
 			class: 'catch-up',
@@ -26,7 +26,7 @@
 			requestsPerS: 4,
 			medianTokens: 30,
 			stream: false,
-			...span,
+			...interval,
 		},
 		{
 			class: 'chat',
@@ -34,7 +34,7 @@
 			requestsPerS: 8,
 			medianTokens: 40,
 			stream: true,
-			...span,
+			...interval,
 		},
 		{
 			class: 'archive',
@@ -42,7 +42,7 @@
 			requestsPerS: 1,
 			medianTokens: 120,
 			stream: true,
-			...span,
+			...interval,
 		},
 		{
 			class: 'recap-post',
@@ -50,7 +50,7 @@
 			requestsPerS: 1,
 			medianTokens: 0,
 			stream: false,
-			...span,
+			...interval,
 		},
 	],
 	20261202,
--- a/bench/make-trace.ts
+++ b/bench/make-trace.ts
@@ -1,6 +1,6 @@
 /**
- * Makes traces of both deployments from a seed. The answer of each request is known, since the
- * stand-in engine's text is a function of the prompt.
+ * Generates deterministic request traces with expected answers; the stand-in engine's answer is a
+ * function of the prompt.
  * @module
  */
 import * as crypto from 'node:crypto';
@@ -10,14 +10,14 @@
 import type { Rng } from './random.js';
 import { createRng, generateArrivals, sampleLongTailLength } from './random.js';
 
-/** One class's stream of requests. */
+/** Poisson arrivals of requests of one class. */
 export interface TrafficStream {
 	class: string;
 	customers: string[];
 	requestsPerS: number;
 	fromMs: number;
 	untilMs: number;
-	/** Median tokens of an answer; 0 for a plain service. */
+	/** Median answer length; 0 sends the requests to the deployment's service instead of a model. */
 	medianTokens: number;
 	stream: boolean;
 }
@@ -30,8 +30,8 @@
 	const trace: TraceRequest[] = [];
 	for (const [index, stream] of streams.entries()) {
 		const rng = createRng(seed * 1000 + index);
-		for (const at of generateArrivals(rng, stream.requestsPerS, stream.fromMs, stream.untilMs)) {
-			trace.push(makeRequest(deployment, stream, at, rng, `${seed}-${index}-${trace.length}`));
+		for (const atMs of generateArrivals(rng, stream.requestsPerS, stream.fromMs, stream.untilMs)) {
+			trace.push(makeRequest(deployment, stream, atMs, rng, `${seed}-${index}-${trace.length}`));
 		}
 	}
 	return trace.sort((a, b) => a.at_ms - b.at_ms);
@@ -40,12 +40,12 @@
 function makeRequest(
 	deployment: Deployment,
 	stream: TrafficStream,
-	at: number,
+	atMs: number,
 	rng: Rng,
 	id: string,
 ): TraceRequest {
 	const customer = stream.customers[Math.floor(rng() * stream.customers.length)] ?? '';
-	const shared = { at_ms: Math.round(at), id, customer, class: stream.class };
+	const shared = { at_ms: Math.round(atMs), id, customer, class: stream.class };
 	if (stream.medianTokens === 0) {
 		return {
 			...shared,
--- a/bench/message-cost.ts
+++ b/bench/message-cost.ts
@@ -1,6 +1,6 @@
 /**
- * What one small message between daemons costs: trpc over HTTP beside a signed datagram. Client
- * and server share this process, so the processor time is that of both ends.
+ * Compares the cost of a small message between daemons over tRPC and as a signed datagram. Client
+ * and server share this process, so the CPU time covers both ends.
  * @module
  */
 
@@ -18,10 +18,10 @@
 import { peerToken } from './fleet.js';
 import { writeResult } from './output.js';
 
-const calls = 3000;
-const warmUp = 500;
+const measuredCalls = 3000;
+const warmUpCalls = 500;
 
-const report: PeerMessage = {
+const reportMessage: PeerMessage = {
 	type: 'report',
 	body: {
 		endpoint: 'engine-1',
@@ -64,15 +64,15 @@
 }
 
 export async function runMessageCostBench(out: string): Promise<void> {
-	const rows = [await overTrpc(), await overDatagrams()];
+	const rows = [await measureTrpc(), await measureDatagrams()];
 	process.stdout.write(`${formatTable(rows)}\n`);
 	await writeResult(out, { bench: 'message-cost', rows });
 }
 
-async function overTrpc(): Promise<Row> {
-	const t = trpc.initTRPC.create();
-	const router = t.router({
-		exchange: t.procedure.input(zod.any()).mutation(({ input }) => input),
+async function measureTrpc(): Promise<Row> {
+	const trpcBuilder = trpc.initTRPC.create();
+	const router = trpcBuilder.router({
+		exchange: trpcBuilder.procedure.input(zod.any()).mutation(({ input }) => input),
 	});
 	const sockets: net.Socket[] = [];
 	const server = http.createServer(standalone.createHTTPHandler({ router }));
@@ -81,35 +81,39 @@
 	const { port } = server.address() as net.AddressInfo;
 	const link = trpcClient.httpLink({ url: `http://127.0.0.1:${port}` });
 	const client = trpcClient.createTRPCClient<typeof router>({ links: [link] });
-	const bytes = () =>
+	const countBytes = () =>
 		sockets.reduce((sum, socket) => sum + socket.bytesRead + socket.bytesWritten, 0);
 	const row = await measure(
 		'trpc over HTTP, kept alive (TCP and IP heads not counted)',
-		bytes,
-		() => client.exchange.mutate(report),
+		countBytes,
+		() => client.exchange.mutate(reportMessage),
 	);
 	server.close();
 	server.closeAllConnections();
 	return row;
 }
 
-async function overDatagrams(): Promise<Row> {
+async function measureDatagrams(): Promise<Row> {
 	const clock = new HybridClock(new SystemClock());
-	let arrived = () => {};
+	let onReply = () => {};
 	const options = { token: peerToken, flushIntervalMs: 0, clock };
-	const back = { id: 'a', address: '127.0.0.1', port: 0 };
-	const there = { id: 'b', address: '127.0.0.1', port: 0 };
-	const a = new UdpTransport({ ...options, selfId: 'a', onBatch: () => arrived() });
-	const b = new UdpTransport({ ...options, selfId: 'b', onBatch: () => b.send(back, report) });
-	back.port = await a.bind('127.0.0.1', 0);
-	there.port = await b.bind('127.0.0.1', 0);
-	const bytes = () => a.traffic.bytesSent + a.traffic.bytesReceived;
-	const row = await measure('signed MessagePack datagram (heads counted)', bytes, async () => {
-		const answered = new Promise<void>((done) => {
-			arrived = done;
+	const addressOfA = { id: 'a', address: '127.0.0.1', port: 0 };
+	const addressOfB = { id: 'b', address: '127.0.0.1', port: 0 };
+	const a = new UdpTransport({ ...options, selfId: 'a', onBatch: () => onReply() });
+	const b = new UdpTransport({
+		...options,
+		selfId: 'b',
+		onBatch: () => b.send(addressOfA, reportMessage),
+	});
+	addressOfA.port = await a.bind('127.0.0.1', 0);
+	addressOfB.port = await b.bind('127.0.0.1', 0);
+	const countBytes = () => a.traffic.bytesSent + a.traffic.bytesReceived;
+	const row = await measure('signed MessagePack datagram (heads counted)', countBytes, async () => {
+		const reply = new Promise<void>((done) => {
+			onReply = done;
 		});
-		a.send(there, report);
-		await answered;
+		a.send(addressOfB, reportMessage);
+		await reply;
 	});
 	a.close();
 	b.close();
@@ -118,21 +122,21 @@
 
 async function measure(
 	way: string,
-	bytes: () => number,
+	countBytes: () => number,
 	call: () => Promise<unknown>,
 ): Promise<Row> {
-	for (let round = 0; round < warmUp; round++) {
+	for (let round = 0; round < warmUpCalls; round++) {
 		await call();
 	}
 	const cpuBefore = process.cpuUsage();
-	const bytesBefore = bytes();
-	for (let round = 0; round < calls; round++) {
+	const bytesBefore = countBytes();
+	for (let round = 0; round < measuredCalls; round++) {
 		await call();
 	}
 	const { user, system } = process.cpuUsage(cpuBefore);
 	return {
 		way,
-		bytes_there_and_back: Math.round((bytes() - bytesBefore) / calls),
-		cpu_us: Math.round((user + system) / calls),
+		bytes_there_and_back: Math.round((countBytes() - bytesBefore) / measuredCalls),
+		cpu_us: Math.round((user + system) / measuredCalls),
 	};
 }
--- a/bench/oracle.ts
+++ b/bench/oracle.ts
@@ -1,31 +1,30 @@
 /**
- * Judges a run's time line by the promises: no request is shed or preempted for lower work, and
- * every class makes progress. Knows nothing of how decisions are made.
+ * Test oracle: checks the timeline of a run for priority inversions and starved classes,
+ * independently of how the router decides.
  * @module
  */
 import { callFailures } from '../src/core/definitions.js';
 import type { TimelineEvent } from '../src/core/timeline/index.js';
 import { eventKinds } from '../src/core/timeline/index.js';
 
-/** Lower work that starts this soon after a request came is not held against it, in milliseconds. */
-const graceMs = 150;
-/** A request passes over an endpoint that failed it for about so long, in milliseconds. */
-const passOverMs = 1200;
-/** Windows in which every class must make progress, in milliseconds. */
+/** Lower-tier starts within this time after a request's arrival do not count as overtaking it. */
+const startToleranceMs = 150;
+/** How long a request avoids an endpoint after a failure there. */
+const failedEndpointAvoidanceMs = 1200;
+/** Window in which every class with waiting requests must make progress. */
 const windowMs = 10_000;
 const windowStepMs = 1000;
 
-/** What the oracle found. */
 export interface Findings {
-	/** Requests given up while lower work was started that could have made room. */
+	/** Requests shed although lower-tier requests started on endpoints that could have served them. */
 	shedForLower: number;
-	/** Requests, whatever came of them, that waited while lower work was started. */
+	/** Requests, shed or not, that waited while lower-tier requests started. */
 	overtaken: number;
-	/** Requests preempted though nothing higher waited. */
+	/** Preemptions while no higher-tier request was in progress. */
 	preemptedForLower: number;
 	preempted: number;
 	resumed: number;
-	/** Ten-second windows in which a class with waiting work got no token. */
+	/** Windows in which a class had a waiting request but made no progress, as `CLASS@SECOND`. */
 	starvedWindows: string[];
 }
 
@@ -36,12 +35,12 @@
 	endedAtMs: number;
 	firstTokenAtMs: number;
 	isShed: boolean;
-	/** Given up on arrival: judged until its deadline. */
+	/** End of the interval that is checked if the request was shed on arrival. */
 	deadlineAtMs: number;
-	/** Spans in which it waited for a slot. */
+	/** Intervals in which the request waited for a slot. */
 	queueIntervals: { from: number; until: number }[];
-	/** When an endpoint failed it; it passes over that endpoint for a moment. */
-	failures: { endpoint: string; at: number }[];
+	/** Failed attempts; the request avoids the endpoint for a while afterwards. */
+	failures: { endpoint: string; atMs: number }[];
 }
 
 export function checkTimeline(
@@ -49,24 +48,24 @@
 	deadlines: ReadonlyMap<string, number>,
 	endpoints: ReadonlySet<string>,
 ): Findings {
-	const stories = collectStories(events, deadlines);
-	const starts = servedStarts(events).filter(
+	const histories = collectHistories(events, deadlines);
+	const starts = findServedStarts(events).filter(
 		(event) => !event.floor && endpoints.has(event.endpoint ?? ''),
 	);
-	const shed = [...stories.values()].filter((story) => story.isShed);
-	const preempts = events.filter((event) => event.kind === eventKinds.requestPreempted);
+	const shed = [...histories.values()].filter((history) => history.isShed);
+	const preemptions = events.filter((event) => event.kind === eventKinds.requestPreempted);
 	return {
-		shedForLower: shed.filter((story) => lowerStarted(story, starts)).length,
-		overtaken: [...stories.values()].filter((story) => lowerStarted(story, starts)).length,
-		preemptedForLower: preempts.filter((event) => !higherWaited(event, stories)).length,
-		preempted: preempts.length,
+		shedForLower: shed.filter((history) => isOvertaken(history, starts)).length,
+		overtaken: [...histories.values()].filter((history) => isOvertaken(history, starts)).length,
+		preemptedForLower: preemptions.filter((event) => !isHigherTierActive(event, histories)).length,
+		preempted: preemptions.length,
 		resumed: events.filter((event) => event.kind === eventKinds.requestResumed).length,
-		starvedWindows: starvedWindows(events, stories),
+		starvedWindows: findStarvedWindows(events, histories),
 	};
 }
 
-/** Starts on an endpoint that was there; one that could not be reached served nobody. */
-function servedStarts(events: readonly TimelineEvent[]): TimelineEvent[] {
+/** Returns the starts whose endpoint could be reached. */
+function findServedStarts(events: readonly TimelineEvent[]): TimelineEvent[] {
 	const starts = new Set<TimelineEvent>();
 	const last = new Map<string, TimelineEvent>();
 	for (const event of events) {
@@ -74,130 +73,140 @@
 		if (event.kind === eventKinds.requestStarted) {
 			starts.add(event);
 			last.set(id, event);
-		} else if (isNotSent(event)) {
-			const unserved = last.get(id);
-			if (unserved) {
-				starts.delete(unserved);
+		} else if (isSendFailure(event)) {
+			const unservedStart = last.get(id);
+			if (unservedStart) {
+				starts.delete(unservedStart);
 			}
 		}
 	}
 	return [...starts];
 }
 
-function isNotSent(event: TimelineEvent): boolean {
-	const failed = event.kind === eventKinds.requestFailed;
-	return failed && event.reason?.startsWith(callFailures.notSent) === true;
+function isSendFailure(event: TimelineEvent): boolean {
+	const isFailure = event.kind === eventKinds.requestFailed;
+	return isFailure && event.reason?.startsWith(callFailures.notSent) === true;
 }
 
-function collectStories(
+function collectHistories(
 	events: readonly TimelineEvent[],
 	deadlines: ReadonlyMap<string, number>,
 ): Map<string, RequestHistory> {
-	const stories = new Map<string, RequestHistory>();
+	const histories = new Map<string, RequestHistory>();
 	for (const event of events) {
 		const id = event.request ?? '';
 		if (event.kind === eventKinds.requestQueued) {
-			stories.set(id, newStory(event, deadlines));
+			histories.set(id, createHistory(event, deadlines));
 		} else {
-			const story = stories.get(id);
-			if (story) {
-				continueStory(story, event);
+			const history = histories.get(id);
+			if (history) {
+				applyEvent(history, event);
 			}
 		}
 	}
-	return stories;
+	return histories;
 }
 
-function newStory(event: TimelineEvent, deadlines: ReadonlyMap<string, number>): RequestHistory {
-	const at = event.time.wall;
+function createHistory(
+	event: TimelineEvent,
+	deadlines: ReadonlyMap<string, number>,
+): RequestHistory {
+	const atMs = event.time.wall;
 	const cls = event.cls ?? '';
 	return {
 		tier: event.tier ?? 0,
 		className: cls,
-		queuedAtMs: at,
+		queuedAtMs: atMs,
 		endedAtMs: Infinity,
 		firstTokenAtMs: Infinity,
 		isShed: false,
-		deadlineAtMs: at + (deadlines.get(cls) ?? 0),
-		queueIntervals: [{ from: at, until: Infinity }],
+		deadlineAtMs: atMs + (deadlines.get(cls) ?? 0),
+		queueIntervals: [{ from: atMs, until: Infinity }],
 		failures: [],
 	};
 }
 
-function continueStory(story: RequestHistory, event: TimelineEvent): void {
-	const at = event.time.wall;
-	const last = story.queueIntervals.at(-1);
+function applyEvent(history: RequestHistory, event: TimelineEvent): void {
+	const atMs = event.time.wall;
+	const last = history.queueIntervals.at(-1);
 	switch (event.kind) {
 		case eventKinds.requestStarted:
 			if (last) {
-				last.until = Math.min(last.until, at);
+				last.until = Math.min(last.until, atMs);
 			}
 			break;
 		case eventKinds.requestPreempted:
 		case eventKinds.requestResumed:
-			story.queueIntervals.push({ from: at, until: Infinity });
+			history.queueIntervals.push({ from: atMs, until: Infinity });
 			break;
 		case eventKinds.requestFailed:
-			story.failures.push({ endpoint: event.endpoint ?? '', at });
+			history.failures.push({ endpoint: event.endpoint ?? '', atMs });
 			break;
 		case eventKinds.requestFirstToken:
-			story.firstTokenAtMs = Math.min(story.firstTokenAtMs, at);
+			history.firstTokenAtMs = Math.min(history.firstTokenAtMs, atMs);
 			break;
 		case eventKinds.requestShed:
-			story.isShed = true;
-			story.endedAtMs = at;
+			history.isShed = true;
+			history.endedAtMs = atMs;
 			break;
 		case eventKinds.requestEnded:
-			story.endedAtMs = at;
+			history.endedAtMs = atMs;
 			break;
 	}
 }
 
-/** Work of a lower tier was started while the request waited and could have been served. */
-function lowerStarted(story: RequestHistory, starts: readonly TimelineEvent[]): boolean {
-	const early = story.isShed && story.endedAtMs - story.queuedAtMs < graceMs;
-	const end = early ? story.deadlineAtMs : story.endedAtMs;
+/** Whether a lower-tier request started on an endpoint that could have served this waiting one. */
+function isOvertaken(history: RequestHistory, starts: readonly TimelineEvent[]): boolean {
+	const isShedOnArrival =
+		history.isShed && history.endedAtMs - history.queuedAtMs < startToleranceMs;
+	const end = isShedOnArrival ? history.deadlineAtMs : history.endedAtMs;
 	return starts.some((start) => {
-		const at = start.time.wall;
-		const waited = story.queueIntervals.some((wait) => at > wait.from + graceMs && at < wait.until);
-		const passedOver = story.failures.some(
-			(failure) => failure.endpoint === start.endpoint && at - failure.at < passOverMs,
+		const atMs = start.time.wall;
+		const isWaiting = history.queueIntervals.some(
+			(interval) => atMs > interval.from + startToleranceMs && atMs < interval.until,
+		);
+		const isAvoided = history.failures.some(
+			(failure) =>
+				failure.endpoint === start.endpoint && atMs - failure.atMs < failedEndpointAvoidanceMs,
 		);
-		return (start.tier ?? 0) > story.tier && waited && at < end && !passedOver;
+		return (start.tier ?? 0) > history.tier && isWaiting && atMs < end && !isAvoided;
 	});
 }
 
-function higherWaited(event: TimelineEvent, stories: ReadonlyMap<string, RequestHistory>): boolean {
-	const at = event.time.wall;
-	for (const story of stories.values()) {
-		const higher = story.tier < (event.tier ?? 0);
-		if (higher && story.queuedAtMs <= at && story.endedAtMs >= at - graceMs) {
+function isHigherTierActive(
+	event: TimelineEvent,
+	histories: ReadonlyMap<string, RequestHistory>,
+): boolean {
+	const atMs = event.time.wall;
+	for (const history of histories.values()) {
+		const isHigher = history.tier < (event.tier ?? 0);
+		if (isHigher && history.queuedAtMs <= atMs && history.endedAtMs >= atMs - startToleranceMs) {
 			return true;
 		}
 	}
 	return false;
 }
 
-/** Windows in which a request of a class waited throughout, and none was being answered. */
-function starvedWindows(
+/** Finds windows in which a request of a class waited throughout while none of the class was served. */
+function findStarvedWindows(
 	events: readonly TimelineEvent[],
-	stories: ReadonlyMap<string, RequestHistory>,
+	histories: ReadonlyMap<string, RequestHistory>,
 ): string[] {
 	const begin = events[0]?.time.wall ?? 0;
 	const end = events.at(-1)?.time.wall ?? 0;
-	const classes = new Set([...stories.values()].map((story) => story.className));
+	const classes = new Set([...histories.values()].map((history) => history.className));
 	const starved: string[] = [];
 	for (const cls of classes) {
-		const ofClass = [...stories.values()].filter((story) => story.className === cls);
+		const ofClass = [...histories.values()].filter((history) => history.className === cls);
 		for (let from = begin; from + windowMs <= end; from += windowStepMs) {
 			const until = from + windowMs;
-			const progressed = ofClass.some(
-				(story) => story.firstTokenAtMs < until && story.endedAtMs > from,
+			const hasProgress = ofClass.some(
+				(history) => history.firstTokenAtMs < until && history.endedAtMs > from,
 			);
-			const waited = ofClass.some(
-				(story) => story.queuedAtMs <= from && waitedUntil(story) >= until,
+			const isWaiting = ofClass.some(
+				(history) => history.queuedAtMs <= from && computeWaitEndMs(history) >= until,
 			);
-			if (waited && !progressed) {
+			if (isWaiting && !hasProgress) {
 				starved.push(`${cls}@${Math.round((from - begin) / 1000)}s`);
 			}
 		}
@@ -205,6 +214,6 @@
 	return starved;
 }
 
-function waitedUntil(story: RequestHistory): number {
-	return Math.min(story.firstTokenAtMs, story.endedAtMs);
+function computeWaitEndMs(history: RequestHistory): number {
+	return Math.min(history.firstTokenAtMs, history.endedAtMs);
 }
--- a/bench/output.ts
+++ b/bench/output.ts
@@ -1,10 +1,10 @@
 /**
- * Results as JSON lines.
+ * Writes benchmark results as JSON lines.
  * @module
  */
 import * as fs from 'node:fs/promises';
 
-/** Appends one result, where a file was asked for. */
+/** Appends a result to the file `out`; does nothing if `out` is empty. */
 export async function writeResult(out: string, result: object): Promise<void> {
 	if (out !== '') {
 		await fs.appendFile(out, `${JSON.stringify(result)}\n`);
--- a/bench/quickstart.ts
+++ b/bench/quickstart.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run quickstart`: stand-ins and three daemons, a Lakeshore morning replayed through the
- * daemons in turn, every answer checked to the last token.
+ * `npm run quickstart`: replays a fixture trace against three daemons with stand-in engines and
+ * checks every answer.
  * @module
  */
 import * as fs from 'node:fs/promises';
@@ -15,8 +15,8 @@
 import { buildConfiguration, getClassTargets, lakeshore } from './deployments.js';
 import { customerApiKey, Fleet } from './fleet.js';
 
-const here = path.dirname(fileURLToPath(import.meta.url));
-const tracePath = path.resolve(here, '../../test/fixtures/lakeshore-morning.jsonl');
+const currentDir = path.dirname(fileURLToPath(import.meta.url));
+const tracePath = path.resolve(currentDir, '../../test/fixtures/lakeshore-morning.jsonl');
 const timeoutMs = 60_000;
 
 const fleet = new Fleet({ daemons: 3, domains: lakeshore.domains });
@@ -28,7 +28,7 @@
 
 async function run(): Promise<number> {
 	const trace = await readTrace(tracePath);
-	process.stdout.write('starting the stand-ins and three daemons ...\n');
+	process.stdout.write('starting stand-ins and three daemons ...\n');
 	await fleet.startStandIns([{}, {}, {}, {}], 1);
 	await fleet.startDaemons();
 	const cfg = buildConfiguration(lakeshore, fleet, {});
@@ -41,15 +41,17 @@
 	const results = await client.replay(trace);
 	const durationS = (trace.at(-1)?.at_ms ?? 0) / 1000;
 	process.stdout.write(`${formatTable(summarize(results, getClassTargets(cfg), durationS))}\n`);
-	const generated = await totalGenerated();
-	const received = results.reduce((sum, result) => sum + result.tokens, 0);
-	process.stdout.write(`tokens generated ${generated}, received ${received}\n`);
-	const wrong = results.filter((result) => result.wrong || result.outcome !== 'complete');
-	for (const result of wrong.slice(0, 10)) {
+	const generatedTokens = await countGeneratedTokens();
+	const receivedTokens = results.reduce((sum, result) => sum + result.tokens, 0);
+	process.stdout.write(`tokens generated ${generatedTokens}, received ${receivedTokens}\n`);
+	const failures = results.filter((result) => result.wrong || result.outcome !== 'complete');
+	for (const result of failures.slice(0, 10)) {
 		process.stdout.write(`wrong: ${JSON.stringify(result)}\n`);
 	}
-	process.stdout.write(`${results.length - wrong.length} answers right, ${wrong.length} wrong\n`);
-	return wrong.length === 0 ? 0 : 1;
+	process.stdout.write(
+		`${results.length - failures.length} answers correct, ${failures.length} wrong\n`,
+	);
+	return failures.length === 0 ? 0 : 1;
 }
 
 async function readTrace(file: string): Promise<TraceRequest[]> {
@@ -58,9 +60,9 @@
 	return lines.map((line) => traceRequestSchema.parse(JSON.parse(line)));
 }
 
-async function totalGenerated(): Promise<number> {
+async function countGeneratedTokens(): Promise<number> {
 	const stats = await Promise.all(
 		fleet.engines.map((engine) => fleet.fetchStats<EngineStats>(engine)),
 	);
-	return stats.reduce((sum, one) => sum + one.generated, 0);
+	return stats.reduce((sum, engineStats) => sum + engineStats.generated, 0);
 }
--- a/bench/random.ts
+++ b/bench/random.ts
@@ -1,9 +1,11 @@
 /**
- * Seeded random numbers (mulberry32), so that traces repeat.
+ * Seeded random numbers and distributions for reproducible traces.
  * @module
  */
+/** Returns a uniform random number in [0, 1). */
 export type Rng = () => number;
 
+/** Creates a mulberry32 generator. */
 export function createRng(seed: number): Rng {
 	let state = seed >>> 0;
 	return () => {
@@ -14,28 +16,28 @@
 	};
 }
 
-/** Times of a Poisson process, in milliseconds. */
+/** Generates the arrival times of a Poisson process, in milliseconds. */
 export function generateArrivals(
 	rng: Rng,
-	perSecond: number,
+	ratePerS: number,
 	fromMs: number,
 	untilMs: number,
 ): number[] {
-	const times: number[] = [];
-	if (perSecond <= 0) {
-		return times;
+	const timesMs: number[] = [];
+	if (ratePerS <= 0) {
+		return timesMs;
 	}
-	let at = fromMs;
+	let atMs = fromMs;
 	for (;;) {
-		at += (-Math.log(1 - rng()) / perSecond) * 1000;
-		if (at >= untilMs) {
-			return times;
+		atMs += (-Math.log(1 - rng()) / ratePerS) * 1000;
+		if (atMs >= untilMs) {
+			return timesMs;
 		}
-		times.push(at);
+		timesMs.push(atMs);
 	}
 }
 
-/** A length with a long tail: mostly near the median, at most eight times it. */
+/** Samples a log-normal length, capped at eight times the median. */
 export function sampleLongTailLength(rng: Rng, median: number): number {
 	const normal = Math.sqrt(-2 * Math.log(1 - rng())) * Math.cos(2 * Math.PI * rng());
 	const factor = Math.min(Math.exp(0.6 * normal), 8);
--- a/bench/relay.ts
+++ b/bench/relay.ts
@@ -1,5 +1,5 @@
 /**
- * The floor of the hot path: a bare undici relay of a few lines, as a process of its own.
+ * Minimal undici relay, the baseline of the hot-path benchmark; runs as a separate process.
  * @module
  */
 import * as http from 'node:http';
--- a/deploy/bundle.cjs
+++ b/deploy/bundle.cjs
@@ -1,38 +1,45 @@
 /**
- * The bundled daemon as a script, with the code that was compiled for it at build time.
+ * Loads the bundled daemon as a script, with the V8 code cache that `compile.cjs` writes.
  */
 const fs = require('node:fs');
-const module_ = require('node:module');
+const nodeModule = require('node:module');
 const path = require('node:path');
 const vm = require('node:vm');
 
-const file = path.join(__dirname, '../target/relayd.cjs');
-/** Code of the functions that ran at build time. */
-const compiledFile = `${file}.cache`;
+const bundleFile = path.join(__dirname, '../target/relayd.cjs');
+const codeCacheFile = `${bundleFile}.cache`;
 
-/** @param {boolean} compiled whether compiled code is used, where it exists */
-function load(compiled) {
-	const source = module_.wrap(fs.readFileSync(file, 'utf8').replace(/^#!.*/, ''));
+/** @param {boolean} useCodeCache whether to use the code cache, if it exists */
+function loadScript(useCodeCache) {
+	const source = nodeModule.wrap(fs.readFileSync(bundleFile, 'utf8').replace(/^#!.*/, ''));
 	const cachedData =
-		compiled && fs.existsSync(compiledFile) ? fs.readFileSync(compiledFile) : undefined;
-	const script = new vm.Script(source, { filename: file, cachedData });
+		useCodeCache && fs.existsSync(codeCacheFile) ? fs.readFileSync(codeCacheFile) : undefined;
+	const script = new vm.Script(source, { filename: bundleFile, cachedData });
 	if (script.cachedDataRejected) {
-		// Another version or other flags of Node.js: it is compiled again, which only takes time.
-		process.stderr.write(`${compiledFile} does not fit this Node.js\n`);
+		// The cache was written by another Node.js version or with other flags; V8 compiles the source.
+		process.stderr.write(
+			`${codeCacheFile}: code cache rejected, written by another Node.js version or with other flags\n`,
+		);
 	}
 	return script;
 }
 
-/** Runs the daemon's main module. */
-function run(script) {
+/** Runs the script as the main CommonJS module. */
+function runScript(script) {
 	const main = { exports: {} };
-	const body = script.runInThisContext();
-	body(main.exports, module_.createRequire(file), main, file, path.dirname(file));
+	const evaluate = script.runInThisContext();
+	evaluate(
+		main.exports,
+		nodeModule.createRequire(bundleFile),
+		main,
+		bundleFile,
+		path.dirname(bundleFile),
+	);
 }
 
-/** Keeps the code of all functions that have run so far. */
-function saveCompiled(script) {
-	fs.writeFileSync(compiledFile, script.createCachedData());
+/** Writes the code cache, which holds the functions that have run so far. */
+function saveCodeCache(script) {
+	fs.writeFileSync(codeCacheFile, script.createCachedData());
 }
 
-module.exports = { load, run, saveCompiled };
+module.exports = { loadScript, runScript, saveCodeCache };
--- a/deploy/no-http2.cjs
+++ b/deploy/no-http2.cjs
@@ -1,2 +1,2 @@
-/** Stands in the bundle for `node:http2`, which undici loads for a protocol that is not spoken here. */
+/** Replaces `node:http2` in the bundle; undici loads it, but the daemon does not use HTTP/2. */
 module.exports = { constants: {} };
--- a/deploy/prom-client-metrics.cjs
+++ b/deploy/prom-client-metrics.cjs
@@ -1,6 +1,6 @@
 /**
- * What the daemon uses of prom-client, for its bundle. The package's own entry also loads clusters, pushing
- * and process figures, and with them encryption and child processes, which takes a fifth of a start.
+ * Replaces `prom-client` in the bundle with the parts that the daemon uses. The package's own entry also loads
+ * cluster support, the push gateway and process metrics, which slows startup.
  */
 module.exports = {
 	Counter: require('../node_modules/prom-client/lib/counter.js'),
--- a/deploy/runtime.cjs
+++ b/deploy/runtime.cjs
@@ -1,14 +1,12 @@
 /**
- * Sets up the runtime for VMs of a third of a core, before the daemon's code is loaded. The modules of Node.js come with
- * compiled code, which V8 refuses once a flag differs from those of its own build: so the flags are set here, after the
- * modules that the daemon needs were loaded, and not on the command line: a start runs 361 million instructions in place of 435
- * (loopback, median of 7).
+ * Sets V8 flags for small VMs before the daemon's code is loaded. The flags are set here, after the built-in modules
+ * are loaded, and not on the command line: V8 rejects the code cache of the built-in modules once a flag differs.
  */
 const util = require('node:util');
 const v8 = require('node:v8');
 
-/** Modules that the daemon needs. What Node.js alone loads for open ports (`cluster`) costs 3 % of a start. */
-const modules = [
+/** Built-in modules that the daemon uses. */
+const builtinModules = [
 	'node:assert',
 	'node:dgram',
 	'node:dns',
@@ -20,25 +18,23 @@
 	'node:vm',
 ];
 
-/**
- * Functions are optimised only when they stay hot. The HTTP parser (WebAssembly) is compiled by the fast compiler alone.
- */
-const flags = [
+/** Delays optimization of hot functions, and compiles WebAssembly (the HTTP parser) with the baseline compiler only. */
+const v8Flags = [
 	'--interrupt-budget=1000000',
 	'--liftoff-only',
 	'--no-wasm-tier-up',
 	'--no-wasm-dynamic-tiering',
 ];
 
-/** Threads for writing the log: one write is open at a time. */
-const poolSize = '1';
+/** libuv threads; the log has at most one write in progress. */
+const threadPoolSize = '1';
 
-process.env.UV_THREADPOOL_SIZE = poolSize;
-for (const name of modules) {
+process.env.UV_THREADPOOL_SIZE = threadPoolSize;
+for (const name of builtinModules) {
 	require(name);
 }
-// Loaded when it is first looked up.
+// Node.js loads the argument parser on first access.
 void util.parseArgs;
-for (const flag of flags) {
+for (const flag of v8Flags) {
 	v8.setFlagsFromString(flag);
 }
--- a/deploy/start.cjs
+++ b/deploy/start.cjs
@@ -1,9 +1,9 @@
 /**
- * Runs the bundled daemon from code that was compiled at build time (`compile.cjs`): all VMs may start at
- * once after a loss of power, and nothing is served until they have.
+ * Runs the bundled daemon with the code cache that `compile.cjs` wrote at build time. This shortens the outage when
+ * all VMs start at the same time, such as after a power failure.
  */
 require('./runtime.cjs');
 
 const bundle = require('./bundle.cjs');
 
-bundle.run(bundle.load(true));
+bundle.runScript(bundle.loadScript(true));
--- a/deploy/undici-dispatchers.cjs
+++ b/deploy/undici-dispatchers.cjs
@@ -1,6 +1,6 @@
 /**
- * What the daemon uses of undici, for its bundle. The package's own entry also loads fetch, caches and
- * web sockets, which takes a third of the time that the daemon needs to start.
+ * Replaces `undici` in the bundle with the parts that the daemon uses. The package's own entry also loads
+ * fetch, caches and WebSocket, which slows startup.
  */
 const Dispatcher = require('../node_modules/undici/lib/dispatcher/dispatcher.js');
 
--- a/tools/make-docs.ts
+++ b/tools/make-docs.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the reference pages that follow from the code: settings, configuration, errors.
- * `node dist/tools/make-docs.js [--check]`; with --check it writes nothing and fails on a difference.
+ * Generates the reference pages for settings, configuration, errors and log events from the code.
+ * `node dist/tools/make-docs.js [--check]`; `--check` writes nothing and fails if a page is stale.
  * @module
  */
 import * as fs from 'node:fs/promises';
@@ -12,16 +12,16 @@
 	text: string;
 }
 
-interface Item {
+interface DocumentedKey {
 	table: string;
 	key: string;
 	text: string;
 	default?: string;
-	need: 'required' | 'optional';
+	presence: 'required' | 'optional';
 }
 
-/** Headings of tables whose name in the code is not that in the file. */
-const headings: Record<string, string> = {
+/** Headings of schemas whose constant is not named after its TOML table. */
+const headingsByTable: Record<string, string> = {
 	serviceClass: '[[classes]]',
 	customer: '[[customers]]',
 	endpoint: '[[endpoints]]',
@@ -32,36 +32,36 @@
 
 const isCheck = process.argv.includes('--check');
 const pages = [
-	await schemaPage('docs/SETTINGS.md', 'Settings of a daemon', 'src/core/settings/schema.ts'),
-	await schemaPage(
+	await createSchemaPage('docs/SETTINGS.md', 'Settings of a daemon', 'src/core/settings/schema.ts'),
+	await createSchemaPage(
 		'docs/CONFIGURATION.md',
 		"The operators' configuration",
 		'src/core/configuration/schema.ts',
 	),
-	errorsPage(),
-	logsPage(),
+	createErrorsPage(),
+	createLogsPage(),
 ];
-let stale = 0;
+let stalePages = 0;
 for (const page of pages) {
 	if (isCheck) {
 		const current = await fs.readFile(page.file, 'utf8').catch(() => '');
-		stale += current === page.text ? 0 : 1;
+		stalePages += current === page.text ? 0 : 1;
 	} else {
 		await fs.writeFile(page.file, page.text);
 	}
 }
-if (stale > 0) {
-	process.stderr.write(`${stale} pages are not what the code says; run npm run docs\n`);
+if (stalePages > 0) {
+	process.stderr.write(`${stalePages} generated pages are stale; run "npm run docs"\n`);
 	process.exit(1);
 }
 
-/** Events of the relay's log. */
-function logsPage(): Page {
+function createLogsPage(): Page {
 	const lines = [
-		'# Log of the relay',
+		'# Relay log events',
 		'',
-		'Made from `src/core/relay/log-events.ts` by `npm run docs`. One line of key=value pairs an event on',
-		'standard output; every line has `time`, `level`, `event` and `vm`. Times are in milliseconds.',
+		'Generated from `src/core/relay/log-events.ts` by `npm run docs`. The relay logs each event to standard',
+		'output as one line of key=value pairs; every line has `time`, `level`, `event` and `vm`. Times are in',
+		'milliseconds.',
 		'',
 	];
 	for (const event of logEvents) {
@@ -74,34 +74,34 @@
 	return { file: 'docs/LOGS.md', text: lines.join('\n') };
 }
 
-async function schemaPage(file: string, title: string, source: string): Promise<Page> {
-	const items = readItems(await fs.readFile(source, 'utf8'));
-	const lines = [`# ${title}`, '', `Made from \`${source}\` by \`npm run docs\`.`, ''];
+async function createSchemaPage(file: string, title: string, source: string): Promise<Page> {
+	const items = parseKeys(await fs.readFile(source, 'utf8'));
+	const lines = [`# ${title}`, '', `Generated from \`${source}\` by \`npm run docs\`.`, ''];
 	for (const table of new Set(items.map((item) => item.table))) {
 		lines.push(
-			`## ${headings[table] ?? `[${table}]`}`,
+			`## ${headingsByTable[table] ?? `[${table}]`}`,
 			'',
 			'| key | meaning | default |',
 			'| --- | --- | --- |',
 		);
-		for (const item of items.filter((known) => known.table === table)) {
-			const shown = item.default === undefined ? item.need : `\`${item.default}\``;
-			lines.push(`| \`${item.key}\` | ${item.text} | ${shown} |`);
+		for (const item of items.filter((key) => key.table === table)) {
+			const defaultOrPresence = item.default === undefined ? item.presence : `\`${item.default}\``;
+			lines.push(`| \`${item.key}\` | ${item.text} | ${defaultOrPresence} |`);
 		}
 		lines.push('');
 	}
 	return { file, text: lines.join('\n') };
 }
 
-/** Keys of each strictObject with the doc comments before them. */
-function readItems(source: string): Item[] {
-	const items: Item[] = [];
+/** Parses the keys of each `zod.strictObject` constant and their doc comments. */
+function parseKeys(source: string): DocumentedKey[] {
+	const items: DocumentedKey[] = [];
 	let table = '';
 	let comment = '';
 	for (const line of source.split('\n')) {
-		const opened = /^(?:export )?const (\w+) = zod\.strictObject/.exec(line);
-		if (opened?.[1]) {
-			table = opened[1];
+		const tableStart = /^(?:export )?const (\w+) = zod\.strictObject/.exec(line);
+		if (tableStart?.[1]) {
+			table = tableStart[1];
 			comment = '';
 		}
 		const doc = /^\t\/\*\* (.*) \*\/$/.exec(line);
@@ -109,22 +109,22 @@
 		if (doc?.[1]) {
 			comment = doc[1];
 		} else if (key?.[1] && table !== '') {
-			const [text, preset] = comment.split(/\s*@default\s*/);
+			const [text, defaultValue] = comment.split(/\s*@default\s*/);
 			const optional = line.includes('.optional()') || line.includes('.default(');
-			const need = optional ? 'optional' : 'required';
-			const words = text || defaultText(key[1], line);
-			items.push({ table, key: key[1], text: words, default: preset, need });
+			const presence = optional ? 'optional' : 'required';
+			const description = text || defaultDescription(key[1], line);
+			items.push({ table, key: key[1], text: description, default: defaultValue, presence });
 			comment = '';
 		}
 	}
 	return items;
 }
 
-function errorsPage(): Page {
+function createErrorsPage(): Page {
 	const lines = [
 		'# Errors',
 		'',
-		'Made from `src/core/errors/errors-data.ts` by `npm run docs`.',
+		'Generated from `src/core/errors/errors-data.ts` by `npm run docs`.',
 		'',
 	];
 	lines.push('| name | status | title | what to do |', '| --- | --- | --- | --- |');
@@ -135,8 +135,8 @@
 	return { file: 'docs/ERRORS.md', text: lines.join('\n') };
 }
 
-/** Keys that need no words of their own. */
-function defaultText(key: string, line: string): string {
+/** Describes a key that has no doc comment. */
+function defaultDescription(key: string, line: string): string {
 	const isTable = /zod\.array|[a-z]+(\.default\([a-z]|,$)/.test(line) && key !== 'name';
-	return isTable ? 'See its own table.' : 'Lower-case letters, digits, dots and hyphens.';
+	return isTable ? 'See the table of that name.' : 'Lower-case letters, digits, dots and hyphens.';
 }
